--- a/coursefold/cells/cells.py
+++ b/coursefold/cells/cells.py
@@ -13,9 +13,9 @@
 from coursefold.cells.waits import WaitLog
 from coursefold.coordination.core import Core
 from coursefold.histograms import read_summary, summarize
-from coursefold.protocol.ids import Moment
+from coursefold.protocol.ids import MonotonicTime
 from coursefold.storage import records
-from coursefold.storage.cell_records import AwayStage
+from coursefold.storage.cell_records import DelegationStage
 
 log = logging.getLogger(__name__)
 
@@ -38,9 +38,9 @@
         self.seq = 0
         self.led_token = 0
         self.lapsed: dict[str, bool] = {}
-        self.waits_at = Moment(-1e9)
+        self.waits_at = MonotonicTime(-1e9)
         self.encoded_waits = b""
-        core.upgrade.want_level(records.WITH_CELLS)
+        core.upgrade.want_level(records.CELLS_LEVEL)
         core.extensions.append(self)
 
     def tick(self) -> None:
@@ -65,7 +65,7 @@
         """Frames from before we led may be older than what a former leader acted on."""
         for cell in self.directory.cells.values():
             cell.frame, cell.pools = None, []
-            cell.heard_at = Moment(-1e9)
+            cell.heard_at = MonotonicTime(-1e9)
 
     def _stop_lapsed(self) -> None:
         """On every controller: stop the tasks of guests as soon as their grant has ended."""
@@ -74,7 +74,7 @@
             now_lapsed = ctx.grants.lapsed(home, ctx.now, ctx.wall)
             if now_lapsed and not self.lapsed.get(home, True):
                 guests = self.core.view.guests.items()
-                names = [n for n, job in guests if job.guest and job.guest.home == home]
+                names = [n for n, job in guests if job.guest and job.guest.home_cell == home]
                 if names:
                     log.info("the grant of %s has ended: %d jobs are stopped", home, len(names))
                     self.core.stop_tasks(names)
@@ -135,13 +135,22 @@
         wall, view = self.core.ctx.wall, self.core.view
         found: list[tuple[float, str, str, str]] = []
         for name, job in view.away.items():
-            if job.away:
-                where = f"in cell {job.away.cell}"
-                found.append((job.away.at, name, where, job.away.stage.name.lower()))
+            if job.delegation:
+                where = f"in cell {job.delegation.guest_cell}"
+                found.append(
+                    (
+                        job.delegation.stage_started_at,
+                        name,
+                        where,
+                        job.delegation.stage.name.lower(),
+                    )
+                )
         for name, job in view.guests.items():
             if job.guest:
-                whose = f"here for cell {job.guest.home}"
-                found.append((job.guest.at, name, whose, job.guest.stage.name.lower()))
+                whose = f"here for cell {job.guest.home_cell}"
+                found.append(
+                    (job.guest.stage_started_at, name, whose, job.guest.stage.name.lower())
+                )
         return [
             {"job": name, "where": where, "stage": stage, "for_s": round(max(0.0, wall - at), 1)}
             for at, name, where, stage in sorted(found, reverse=True)[:MOVED_SHOWN]
@@ -149,8 +158,12 @@
 
     def _describe(self, cell: OtherCell) -> dict[str, Any]:
         ctx, view = self.core.ctx, self.core.view
-        away = [job.away for job in view.away.values() if job.away and job.away.cell == cell.name]
-        guests = [j for j in view.guests.values() if j.guest and j.guest.home == cell.name]
+        away = [
+            job.delegation
+            for job in view.away.values()
+            if job.delegation and job.delegation.guest_cell == cell.name
+        ]
+        guests = [j for j in view.guests.values() if j.guest and j.guest.home_cell == cell.name]
         heard = ctx.now - cell.heard_at
         summary = read_summary(cell.frame.waits) if cell.frame and cell.frame.waits else None
         return {
@@ -158,8 +171,8 @@
             "reachable": self.directory.is_reachable(cell.name),
             "heard_s": round(heard, 1) if cell.frame else None,
             "leader": cell.frame.member if cell.frame else None,
-            "offered": sum(a.stage == AwayStage.OFFERED for a in away),
-            "away": sum(a.stage != AwayStage.OFFERED for a in away),
+            "offered": sum(a.stage == DelegationStage.OFFERED for a in away),
+            "away": sum(a.stage != DelegationStage.OFFERED for a in away),
             "guests": len(guests),
             "free_slots": round(sum(pool.free for pool in cell.pools), 1),
             "waits": summary._asdict() if summary else None,
--- a/coursefold/cells/directory.py
+++ b/coursefold/cells/directory.py
@@ -10,7 +10,7 @@
 from coursefold.cells.config import CellsConfig
 from coursefold.cells.messages import BadFrameError, Frame, PoolState, read_frame
 from coursefold.coordination.context import Context
-from coursefold.protocol.ids import Moment
+from coursefold.protocol.ids import MonotonicTime
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.frame: Frame | None = None
-        self.heard_at = Moment(-1e9)
+        self.heard_at = MonotonicTime(-1e9)
         self.pools: list[PoolState] = []  # less what was offered since
 
     def is_newer(self, frame: Frame) -> bool:
@@ -43,7 +43,7 @@
     def __init__(self, config: CellsConfig, ctx: Context) -> None:
         self.config, self.ctx = config, ctx
         self.cells = {entry.name: OtherCell(entry.name) for entry in config.others}
-        self.complained: dict[tuple[str, str], Moment] = {}
+        self.complained: dict[tuple[str, str], MonotonicTime] = {}
 
     def take(self, raw: bytes, address: str) -> OtherCell | None:
         """Note a frame; the cell that it is of, or None if it changes nothing."""
--- a/coursefold/cells/edits.py
+++ b/coursefold/cells/edits.py
@@ -10,8 +10,8 @@
 from coursefold.cells.messages import GuestState, Handle, Offer, Ranges
 from coursefold.coordination.jobs import settle
 from coursefold.storage import records
-from coursefold.storage.cell_records import Away, AwayStage, CellLink, Guest, GuestStage
-from coursefold.storage.edits import Change, NotApplicableError, Remove, Result
+from coursefold.storage.cell_records import CellLink, Delegation, DelegationStage, Guest, GuestStage
+from coursefold.storage.edits import Change, DeleteKey, EditResult, NotApplicableError
 from coursefold.storage.records import Ending, JobRecord
 
 replace = msgspec.structs.replace
@@ -31,26 +31,36 @@
 # The home cell's
 
 
-def _away(record: Struct | None, cell: str, handle: Handle) -> tuple[JobRecord, Away]:
+def _away(record: Struct | None, cell: str, handle: Handle) -> tuple[JobRecord, Delegation]:
     """The record, if the job is away under this epoch."""
-    if not isinstance(record, JobRecord) or record.away is None:
+    if not isinstance(record, JobRecord) or record.delegation is None:
         raise NotApplicableError("not away")
-    away = record.away
-    if not record.is_away or (away.cell, away.epoch) != (cell, handle.epoch):
+    away = record.delegation
+    if not record.is_delegated or (away.guest_cell, away.epoch) != (cell, handle.epoch):
         raise NotApplicableError("away under another epoch")
     return record, away
 
 
-def offer(away: Away, ready: float) -> Change:
+def offer(away: Delegation, ready: float) -> Change:
     """From here on nothing of the job starts at home, until it has come back."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         if not isinstance(record, JobRecord) or record.status != records.LIVE:
             raise NotApplicableError("over")
-        last = record.away.epoch if record.away else 0
-        if record.is_away or record.entries or record.guest is not None or away.epoch != last + 1:
+        last = record.delegation.epoch if record.delegation else 0
+        if (
+            record.is_delegated
+            or record.entries
+            or record.guest is not None
+            or away.epoch != last + 1
+        ):
             raise NotApplicableError("not waiting")
-        return replace(record, away=away, needs=[], ready=ready if record.needs else record.ready)
+        return replace(
+            record,
+            delegation=away,
+            open_prerequisites=[],
+            ready_at=ready if record.open_prerequisites else record.ready_at,
+        )
 
     return change
 
@@ -58,12 +68,17 @@
 def grant(cell: str, handle: Handle, wall: float) -> Change:
     """The guest cell has reserved room: it may start the job, for as long as the grant holds."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job, away = _away(record, cell, handle)
-        if away.stage != AwayStage.OFFERED or job.status != records.LIVE:
+        if away.stage != DelegationStage.OFFERED or job.status != records.LIVE:
             raise NotApplicableError("not offered")
-        granted = replace(away, stage=AwayStage.GRANTED, reservation=handle.reservation, at=wall)
-        return replace(job, away=granted)
+        granted = replace(
+            away,
+            stage=DelegationStage.GRANTED,
+            reservation=handle.reservation,
+            stage_started_at=wall,
+        )
+        return replace(job, delegation=granted)
 
     return change
 
@@ -71,11 +86,13 @@
 def mark_running(cell: str, handle: Handle, wall: float) -> Change:
     """The guest cell says that tasks run: for the job's user."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job, away = _away(record, cell, handle)
-        if away.stage != AwayStage.GRANTED or away.reservation != handle.reservation:
+        if away.stage != DelegationStage.GRANTED or away.reservation != handle.reservation:
             raise NotApplicableError("not granted")
-        return replace(job, away=replace(away, stage=AwayStage.RUNNING, at=wall))
+        return replace(
+            job, delegation=replace(away, stage=DelegationStage.RUNNING, stage_started_at=wall)
+        )
 
     return change
 
@@ -83,19 +100,19 @@
 def note_progress(cell: str, handle: Handle, done: Ranges) -> Change:
     """Tasks that the guest cell says are done: shown to users, and not repeated if it is lost."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job, away = _away(record, cell, handle)
-        if away.stage == AwayStage.OFFERED or away.reservation != handle.reservation:
+        if away.stage == DelegationStage.OFFERED or away.reservation != handle.reservation:
             raise NotApplicableError("another reservation")
-        return replace(job, done=_with_done(job, done))
+        return replace(job, done_ranges=_with_done(job, done))
 
     return change
 
 
 def _with_done(job: JobRecord, done: Ranges) -> Ranges:
     """The job's done tasks and those that it has been told of."""
-    found = merged(job.done, done)
-    if found == job.done or found[-1][1] >= job.spec.tasks:
+    found = merged(job.done_ranges, done)
+    if found == job.done_ranges or found[-1][1] >= job.spec.task_count:
         raise NotApplicableError("nothing new, or no such task")
     return found
 
@@ -103,11 +120,16 @@
 def withdraw(cell: str, handle: Handle, wall: float, why: str) -> Change:
     """Have the guest cell stop and release the job."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job, away = _away(record, cell, handle)
-        if away.stage not in (AwayStage.GRANTED, AwayStage.RUNNING):
+        if away.stage not in (DelegationStage.GRANTED, DelegationStage.RUNNING):
             raise NotApplicableError("not granted")
-        return replace(job, away=replace(away, stage=AwayStage.WITHDRAWN, at=wall, why=why))
+        return replace(
+            job,
+            delegation=replace(
+                away, stage=DelegationStage.WITHDRAWN, stage_started_at=wall, why=why
+            ),
+        )
 
     return change
 
@@ -120,15 +142,15 @@
     `told` is that word: it names the reservation, and what was done there is done.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job, away = _away(record, cell, handle)
-        if away.stage != AwayStage.OFFERED and away.reservation != handle.reservation:
+        if away.stage != DelegationStage.OFFERED and away.reservation != handle.reservation:
             raise NotApplicableError("another reservation")
-        back = replace(away, stage=AwayStage.HOME, at=wall, why=why)
+        back = replace(away, stage=DelegationStage.HOME, stage_started_at=wall, why=why)
         if told is not None:
-            done = [r for r in merged(job.done, told.done) if r[1] < job.spec.tasks]
-            job = replace(job, done=done, attempt=max(job.attempt, told.attempt))
-        return settle(replace(job, away=back))
+            done = [r for r in merged(job.done_ranges, told.done) if r[1] < job.spec.task_count]
+            job = replace(job, done_ranges=done, attempt=max(job.attempt, told.attempt))
+        return settle(replace(job, delegation=back))
 
     return change
 
@@ -136,13 +158,13 @@
 def finish(cell: str, handle: Handle) -> Change:
     """The guest cell has finished the job."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job, away = _away(record, cell, handle)
-        if away.stage == AwayStage.OFFERED or away.reservation != handle.reservation:
+        if away.stage == DelegationStage.OFFERED or away.reservation != handle.reservation:
             raise NotApplicableError("another reservation")
         if job.status == records.CANCELLED:
-            return Ending(records.CANCELLED, job.spec.tasks)
-        return Ending(records.DONE, job.spec.tasks)
+            return Ending(records.CANCELLED, job.spec.task_count)
+        return Ending(records.DONE, job.spec.task_count)
 
     return change
 
@@ -150,11 +172,11 @@
 def extend_grant(until: float, span: float, gone_s: float) -> Change:
     """Written before the guest cell is told: no successor takes a job back sooner."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         link = record if isinstance(record, CellLink) else CellLink()
         if until <= link.granted_until:
             raise NotApplicableError("granted for longer")
-        return replace(link, granted_until=until, granted_s=span, granted_gone_s=gone_s)
+        return replace(link, granted_until=until, granted_s=span, granted_lease_s=gone_s)
 
     return change
 
@@ -165,12 +187,17 @@
 def reserve(home: str, item: Offer, reservation: str, wall: float) -> Change:
     """Promise room for another cell's job; nothing of it starts yet."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         if record is not None:
             raise NotApplicableError("the id is taken here")
         guest = Guest(home, item.handle.epoch, reservation, GuestStage.RESERVED, wall)
         return JobRecord(
-            item.spec, item.at, attempt=item.attempt, done=item.done, ready=wall, guest=guest
+            item.spec,
+            item.at,
+            attempt=item.attempt,
+            done_ranges=item.done,
+            ready_at=wall,
+            guest=guest,
         )
 
     return change
@@ -180,7 +207,11 @@
     if not isinstance(record, JobRecord) or record.guest is None:
         raise NotApplicableError("not a guest")
     guest = record.guest
-    if (guest.home, guest.epoch, guest.reservation) != (home, handle.epoch, handle.reservation):
+    if (guest.home_cell, guest.epoch, guest.reservation) != (
+        home,
+        handle.epoch,
+        handle.reservation,
+    ):
         raise NotApplicableError("under another reservation")
     return record, guest
 
@@ -188,11 +219,11 @@
 def accept_grant(home: str, handle: Handle, wall: float) -> Change:
     """Home has granted the reservation: its tasks may be placed."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job, guest = _guest(record, home, handle)
         if guest.stage != GuestStage.RESERVED or job.status != records.LIVE:
             raise NotApplicableError("not reserved")
-        return replace(job, guest=replace(guest, stage=GuestStage.GRANTED, at=wall))
+        return replace(job, guest=replace(guest, stage=GuestStage.GRANTED, stage_started_at=wall))
 
     return change
 
@@ -200,14 +231,14 @@
 def revoke(home: str, handle: Handle) -> Change:
     """Nothing of it starts any more; what has a place is stopped, and then it is released."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job, guest = _guest(record, home, handle)
         if job.status != records.LIVE or guest.stage not in (
             GuestStage.RESERVED,
             GuestStage.GRANTED,
         ):
             raise NotApplicableError("revoked")
-        kept = [entry for entry in job.entries if entry.stage != records.DEALT]
+        kept = [entry for entry in job.entries if entry.stage != records.ASSIGNED]
         return settle(replace(job, status=records.CANCELLED, entries=kept))
 
     return change
@@ -216,11 +247,11 @@
 def forget(home: str, handle: Handle) -> Change:
     """Its home has confirmed what became of it, or never granted it: the record goes."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job, guest = _guest(record, home, handle)
         if job.entries or guest.stage == GuestStage.GRANTED:
             raise NotApplicableError("it may still run")
-        return Remove()
+        return DeleteKey()
 
     return change
 
@@ -228,7 +259,7 @@
 def hold_grant(until: float, span: float) -> Change:
     """What home has told us: guests may run until then."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         link = record if isinstance(record, CellLink) else CellLink()
         if until <= link.held_until:
             raise NotApplicableError("known")
--- a/coursefold/cells/estimate.py
+++ b/coursefold/cells/estimate.py
@@ -50,14 +50,14 @@
 
 def may_use(spec: Job, pool: PoolState) -> bool:
     """May the job's tasks run in the pool?"""
-    if not fits_type(spec, pool.kind) or (pool.spot and not spec.spot):
+    if not fits_type(spec, pool.kind) or (pool.spot and not spec.may_use_spot):
         return False
-    return not spec.apart or len(pool.kind.zones) >= ZONES_APART
+    return not spec.spread_zones or len(pool.kind.zones) >= ZONES_APART
 
 
 def fetch_s(spec: Job, pool: PoolState) -> float:
     """Seconds until the job's image is there."""
-    return spec.image_gb / pool.kind.fetch if pool.kind.fetch else 0.0
+    return spec.image_gb / pool.kind.fetch_gb_per_s if pool.kind.fetch_gb_per_s else 0.0
 
 
 def pool_wait(spec: Job, tasks: int, pool: PoolState) -> float:
@@ -71,7 +71,7 @@
     if pool.drain > 0:
         wait = min(LONGEST_S, pool.steady_s + lacking / pool.drain)
     if lacking <= pool.growth:
-        wait = min(wait, pool.kind.boot * BOOT_FACTOR)
+        wait = min(wait, pool.kind.boot_s * BOOT_FACTOR)
     return wait
 
 
--- a/coursefold/cells/guest.py
+++ b/coursefold/cells/guest.py
@@ -16,7 +16,7 @@
 from coursefold.cells.messages import Frame, GuestState, Handle, Offer, PoolState, Refusal
 from coursefold.cells.port import CorePort
 from coursefold.coordination.demand import slots, weight
-from coursefold.protocol.ids import JobId, Moment
+from coursefold.protocol.ids import JobId, MonotonicTime
 from coursefold.storage import records
 from coursefold.storage.cell_records import CellLink, Guest, GuestStage
 from coursefold.storage.edits import Edit
@@ -48,7 +48,7 @@
         self.refusals: dict[str, dict[Handle, str]] = {}
         self.acted_on: dict[str, tuple[int, int]] = {}
         self.pools: list[PoolState] = []
-        self.pools_at = Moment(-1e9)
+        self.pools_at = MonotonicTime(-1e9)
         self.counts: Counter[str] = Counter()
 
     def tick(self) -> None:
@@ -69,13 +69,13 @@
         if guest is None:
             return
         handle = handle_of(name, job)
-        if guest.home not in self.directory.cells:
+        if guest.home_cell not in self.directory.cells:
             if guest.stage != GuestStage.GRANTED:
-                self._forget(guest.home, handle, "its cell is in our file no more")
+                self._forget(guest.home_cell, handle, "its cell is in our file no more")
             elif job.status == records.LIVE:
-                self._revoke(guest.home, handle, "its cell is in our file no more")
+                self._revoke(guest.home_cell, handle, "its cell is in our file no more")
         elif guest.stage == GuestStage.GRANTED and job.status == records.LIVE:
-            self._revoke_if_lapsed(guest.home, handle)
+            self._revoke_if_lapsed(guest.home_cell, handle)
         elif guest.stage == GuestStage.RESERVED:
             self._forget_if_unheard(guest, handle)
 
@@ -86,9 +86,9 @@
 
     def _forget_if_unheard(self, guest: Guest, handle: Handle) -> None:
         """Room is not held for a cell that may be gone; a grant that comes later finds nothing."""
-        waited_s = self.ctx.wall - guest.at
-        if waited_s > RESERVED_S and not self.directory.is_reachable(guest.home):
-            self._forget(guest.home, handle, f"its home was not heard for {waited_s:.0f} s")
+        waited_s = self.ctx.wall - guest.stage_started_at
+        if waited_s > RESERVED_S and not self.directory.is_reachable(guest.home_cell):
+            self._forget(guest.home_cell, handle, f"its home was not heard for {waited_s:.0f} s")
 
     def _act(self, home: str, frame: Frame) -> None:
         """Bring the guests of one home to what its newest frame says."""
@@ -96,7 +96,7 @@
         granted, revoked, closed = set(frame.grants), set(frame.revoked), set(frame.closed)
         settled = True
         for name, job in list(self.view.guests.items()):
-            if job.guest is None or job.guest.home != home:
+            if job.guest is None or job.guest.home_cell != home:
                 continue
             handle = handle_of(name, job)
             stage = job.guest.stage
@@ -165,7 +165,7 @@
     def _is_here(self, home: str, handle: Handle) -> bool:
         """Is the offer reserved already, or an earlier one of the job still to be cleared?"""
         job = self.view.guests.get(handle.job)
-        if job is not None and job.guest is not None and job.guest.home == home:
+        if job is not None and job.guest is not None and job.guest.home_cell == home:
             return True
         return self.port.is_writing(handle.job)
 
@@ -178,7 +178,7 @@
             return f"{limits.jobs} guests are here already"
         if offer.handle.job in self.view.jobs:
             return "the id is taken here"
-        tasks = offer.spec.tasks - sum(high - low + 1 for low, high in offer.done)
+        tasks = offer.spec.task_count - sum(high - low + 1 for low, high in offer.done)
         why = self.port.team_has_room(offer.spec, tasks)
         if why:
             return why
@@ -214,7 +214,13 @@
 
         change = edits.reserve(home, offer, reservation, self.ctx.wall)
         self.port.propose(
-            Edit(job_key(handle.job), change, fence=self.view.token, tag=TAG, done=settled)
+            Edit(
+                job_key(handle.job),
+                change,
+                fencing_token=self.view.token,
+                tag=TAG,
+                on_settled=settled,
+            )
         )
 
     # Frames
@@ -228,7 +234,7 @@
         pools = queue.pools
         shares = [self.config.guests.share * size for size in queue.sizes]
         for job in self.view.guests.values():
-            left = job.spec.tasks - job.done_count
+            left = job.spec.task_count - job.done_count
             found = pools.best(job.spec, left)
             if found is None or left <= 0:
                 continue
@@ -249,7 +255,7 @@
         states = [
             self._state(name, job)
             for name, job in self.view.guests.items()
-            if job.guest is not None and job.guest.home == cell.name
+            if job.guest is not None and job.guest.home_cell == cell.name
         ]
         states += self._unknown(cell, {state.handle for state in states})
         refusals = self.refusals.get(cell.name, {})
@@ -264,9 +270,9 @@
     def _state(name: JobId, job: JobRecord) -> GuestState:
         assert job.guest is not None
         stage = job.guest.stage
-        running = sum(entry.stage != records.DEALT for entry in job.entries)
-        whole = stage == GuestStage.RELEASED or len(job.done) <= TOLD_RANGES
-        done = job.done if whole else []
+        running = sum(entry.stage != records.ASSIGNED for entry in job.entries)
+        whole = stage == GuestStage.RELEASED or len(job.done_ranges) <= TOLD_RANGES
+        done = job.done_ranges if whole else []
         return GuestState(handle_of(name, job), stage, running, done, job.attempt)
 
     def _unknown(self, cell: OtherCell, known: set[Handle]) -> list[GuestState]:
--- a/coursefold/cells/home.py
+++ b/coursefold/cells/home.py
@@ -18,11 +18,11 @@
 from coursefold.cells.policy import Candidate, Choice, Target, choose
 from coursefold.cells.port import CorePort, WaitingJob
 from coursefold.cells.waits import WaitLog
-from coursefold.protocol.ids import JobId, Moment
+from coursefold.protocol.ids import JobId, MonotonicTime
 from coursefold.settings import CLOCK_DRIFT
 from coursefold.storage import records
-from coursefold.storage.cell_records import Away, AwayStage, CellLink, GuestStage
-from coursefold.storage.edits import LATER
+from coursefold.storage.cell_records import CellLink, Delegation, DelegationStage, GuestStage
+from coursefold.storage.edits import LOW_PRIORITY
 from coursefold.storage.records import JobRecord
 
 CHOOSE_EVERY_S = 1.0
@@ -39,7 +39,7 @@
     """The end of the grants to a cell as recorded, and when this process first saw it."""
 
     until: float
-    at: Moment
+    at: MonotonicTime
 
 
 class HomeSide:
@@ -57,8 +57,8 @@
         self.waits, self.decisions = waits, decisions
         self.ctx, self.view = port.ctx, port.view
         self.seen: dict[str, SeenGrant] = {}
-        self.chosen_at = Moment(-1e9)
-        self.progress_at = Moment(-1e9)
+        self.chosen_at = MonotonicTime(-1e9)
+        self.progress_at = MonotonicTime(-1e9)
         self.counts: Counter[str] = Counter()
 
     def observe(self) -> None:
@@ -71,7 +71,7 @@
     def tick(self) -> None:
         """One round of the leader."""
         for name, job in list(self.view.away.items()):
-            away = job.away
+            away = job.delegation
             if away is not None:
                 self._follow(name, job, away, Handle(name, away.epoch, away.reservation))
         for cell in self.directory.cells.values():
@@ -82,53 +82,57 @@
 
     # Jobs that are away
 
-    def _follow(self, name: JobId, job: JobRecord, away: Away, handle: Handle) -> None:
-        if away.stage == AwayStage.OFFERED:
+    def _follow(self, name: JobId, job: JobRecord, away: Delegation, handle: Handle) -> None:
+        if away.stage == DelegationStage.OFFERED:
             self._follow_offer(name, away, handle)
             return
         told = self._told(away, handle)
         if told is not None and told.stage == GuestStage.FINISHED:
-            if self.port.change_job(name, edits.finish(away.cell, handle), f"cell{away.epoch}"):
+            if self.port.change_job(
+                name, edits.finish(away.guest_cell, handle), f"cell{away.epoch}"
+            ):
                 self.counts["finished"] += 1
-                self.decisions.note(Step.FINISH, away.cell, handle)
+                self.decisions.note(Step.FINISH, away.guest_cell, handle)
         elif told is not None and told.stage == GuestStage.RELEASED:
             self._take_back(name, away, handle, self._why_back(away), told)
-        elif self._is_proven_gone(away.cell):
+        elif self._is_proven_gone(away.guest_cell):
             self._take_back(name, away, handle, "the cell was not heard until its grant was over")
             self.counts["lost"] += 1
-        elif told is not None and told.running and away.stage == AwayStage.GRANTED:
-            change = edits.mark_running(away.cell, handle, self.ctx.wall)
+        elif told is not None and told.running and away.stage == DelegationStage.GRANTED:
+            change = edits.mark_running(away.guest_cell, handle, self.ctx.wall)
             self.port.change_job(name, change, f"cell{away.epoch}")
         elif told is not None and told.done and job.status == records.LIVE:
             self._note_progress(name, job, away, told)
-        elif away.stage == AwayStage.GRANTED and job.status == records.LIVE:
+        elif away.stage == DelegationStage.GRANTED and job.status == records.LIVE:
             self._withdraw_if_stuck(name, job, away, handle)
 
-    def _note_progress(self, name: JobId, job: JobRecord, away: Away, told: GuestState) -> None:
+    def _note_progress(
+        self, name: JobId, job: JobRecord, away: Delegation, told: GuestState
+    ) -> None:
         """Write what is done there, one job at a time, when nothing else waits to be written."""
         if self.ctx.now - self.progress_at < PROGRESS_EVERY_S or not self.port.is_idle():
             return
-        if edits.merged(job.done, told.done) == job.done:
+        if edits.merged(job.done_ranges, told.done) == job.done_ranges:
             return
         self.progress_at = self.ctx.now
-        change = edits.note_progress(away.cell, told.handle, told.done)
-        self.port.change_job(name, change, f"cell{away.epoch}", LATER)
+        change = edits.note_progress(away.guest_cell, told.handle, told.done)
+        self.port.change_job(name, change, f"cell{away.epoch}", LOW_PRIORITY)
 
     @staticmethod
-    def _why_back(away: Away) -> str:
-        if away.stage == AwayStage.WITHDRAWN:
+    def _why_back(away: Delegation) -> str:
+        if away.stage == DelegationStage.WITHDRAWN:
             return away.why
         return "the cell has released it"
 
-    def _told(self, away: Away, handle: Handle) -> GuestState | None:
-        cell = self.directory.cells.get(away.cell)
+    def _told(self, away: Delegation, handle: Handle) -> GuestState | None:
+        cell = self.directory.cells.get(away.guest_cell)
         frame = cell.frame if cell else None
         if frame is None:
             return None
         return next((state for state in frame.guests if state.handle == handle), None)
 
-    def _follow_offer(self, name: JobId, away: Away, handle: Handle) -> None:
-        cell = self.directory.cells.get(away.cell)
+    def _follow_offer(self, name: JobId, away: Delegation, handle: Handle) -> None:
+        cell = self.directory.cells.get(away.guest_cell)
         frame = cell.frame if cell else None
         if cell is not None and frame is not None:
             for state in frame.guests:
@@ -140,7 +144,7 @@
                     self._take_back(name, away, handle, f"refused: {refusal.why}")
                     self.counts["refused"] += 1
                     return
-        if self.ctx.wall - away.at > OFFER_S:
+        if self.ctx.wall - away.stage_started_at > OFFER_S:
             self._take_back(name, away, handle, "no answer")
             self.counts["unanswered"] += 1
 
@@ -157,16 +161,23 @@
             self.decisions.note(Step.GRANT, cell.name, handle)
 
     def _take_back(
-        self, name: JobId, away: Away, handle: Handle, why: str, told: GuestState | None = None
+        self,
+        name: JobId,
+        away: Delegation,
+        handle: Handle,
+        why: str,
+        told: GuestState | None = None,
     ) -> None:
-        change = edits.take_back(away.cell, handle, self.ctx.wall, why, told)
+        change = edits.take_back(away.guest_cell, handle, self.ctx.wall, why, told)
         if self.port.change_job(name, change, f"cell{away.epoch}"):
             self.counts["returned"] += 1
-            self.decisions.note(Step.TAKE_BACK, away.cell, handle, why)
+            self.decisions.note(Step.TAKE_BACK, away.guest_cell, handle, why)
 
-    def _withdraw_if_stuck(self, name: JobId, job: JobRecord, away: Away, handle: Handle) -> None:
+    def _withdraw_if_stuck(
+        self, name: JobId, job: JobRecord, away: Delegation, handle: Handle
+    ) -> None:
         """Room that was promised has not come to be: the job may do better at home."""
-        granted_s = self.ctx.wall - away.at
+        granted_s = self.ctx.wall - away.stage_started_at
         limits = self.config.spill
         if granted_s > limits.start_s:
             why = f"nothing of it ran there in {limits.start_s:.0f} s"
@@ -174,14 +185,14 @@
             why = "its room there is gone"
         else:
             return
-        change = edits.withdraw(away.cell, handle, self.ctx.wall, why)
+        change = edits.withdraw(away.guest_cell, handle, self.ctx.wall, why)
         if self.port.change_job(name, change, f"cell{away.epoch}"):
-            self.decisions.note(Step.WITHDRAW, away.cell, handle, why)
+            self.decisions.note(Step.WITHDRAW, away.guest_cell, handle, why)
 
-    def _expected_there(self, job: JobRecord, away: Away) -> float:
+    def _expected_there(self, job: JobRecord, away: Delegation) -> float:
         """The wait that the guest cell's pools tell for a job that is in their queue."""
-        cell = self.directory.cells.get(away.cell)
-        if cell is None or not self.directory.is_reachable(away.cell):
+        cell = self.directory.cells.get(away.guest_cell)
+        if cell is None or not self.directory.is_reachable(away.guest_cell):
             return 0.0
         expected = Pools(cell.pools).best(job.spec, 1)
         return expected.wait if expected else 0.0
@@ -200,9 +211,9 @@
             return True  # never was anything granted
         skew = SKEW_CLOCKS * self.ctx.settings.params.skew_ms / 1000.0
         margin = skew + PROOF_MARGIN_S
-        if self.ctx.wall < link.granted_until + link.granted_gone_s + margin:
+        if self.ctx.wall < link.granted_until + link.granted_lease_s + margin:
             return False
-        span = (link.granted_s + link.granted_gone_s) * CLOCK_DRIFT + margin
+        span = (link.granted_s + link.granted_lease_s) * CLOCK_DRIFT + margin
         return self.ctx.now - seen.at > span
 
     def _renew(self, cell: OtherCell) -> None:
@@ -215,10 +226,12 @@
         link = self.view.links.get(cell.name, CellLink())
         if frame is None or not self.directory.is_reachable(cell.name):
             return
-        stages = [job.away.stage for job in self._jobs_at(cell.name).values() if job.away]
+        stages = [
+            job.delegation.stage for job in self._jobs_at(cell.name).values() if job.delegation
+        ]
         if not stages:
             return
-        is_held = any(stage != AwayStage.OFFERED for stage in stages)
+        is_held = any(stage != DelegationStage.OFFERED for stage in stages)
         if is_held and frame.held_until < link.granted_until:
             return
         span = self._span(frame)
@@ -236,7 +249,9 @@
 
     def _jobs_at(self, cell: str) -> dict[JobId, JobRecord]:
         away = self.view.away.items()
-        return {name: job for name, job in away if job.away and job.away.cell == cell}
+        return {
+            name: job for name, job in away if job.delegation and job.delegation.guest_cell == cell
+        }
 
     # Offers
 
@@ -261,8 +276,10 @@
             frame = cell.frame
             if frame is None or not self.directory.is_reachable(cell.name) or frame.draining:
                 continue
-            stages = [job.away.stage for job in self._jobs_at(cell.name).values() if job.away]
-            open_offers = sum(stage == AwayStage.OFFERED for stage in stages)
+            stages = [
+                job.delegation.stage for job in self._jobs_at(cell.name).values() if job.delegation
+            ]
+            open_offers = sum(stage == DelegationStage.OFFERED for stage in stages)
             room = min(limits.offers - open_offers, limits.jobs - len(stages))
             if room > 0 and self._span(frame) > 0:
                 pools = Pools(cell.pools)
@@ -292,8 +309,8 @@
             best = pools.best(spec, 1)
             price = pools.states[best.pool].price if best else 0.0
             due = None
-            if spec.due is not None:
-                due = wait.job.at + spec.due - self.ctx.wall
+            if spec.deadline_s is not None:
+                due = wait.job.accepted_at + spec.deadline_s - self.ctx.wall
             here_s = wait.expected_s * self.waits.factor
             run_s, avoid = self.port.run_s(spec), self._avoid(wait.job)
             found.append(Candidate(wait.name, spec, wait.tasks, here_s, run_s, price, due, avoid))
@@ -301,25 +318,28 @@
 
     def _may_go(self, wait: WaitingJob) -> bool:
         job = wait.job
-        if job.guest is not None or job.entries or job.spec.shape == "standing":
+        if job.guest is not None or job.entries or job.spec.kind == "standing":
             return False
-        if wait.age < self.config.spill.after_s or len(job.done) > DONE_RANGES:
+        if wait.age < self.config.spill.after_s or len(job.done_ranges) > DONE_RANGES:
             return False
         return wait.name in self.view.waiting and not self.port.is_writing(wait.name)
 
     def _avoid(self, job: JobRecord) -> str:
         """The cell that the job came back from a moment ago."""
-        away = job.away
-        if away is None or self.ctx.wall - away.at >= self.config.spill.return_pause_s:
+        away = job.delegation
+        if (
+            away is None
+            or self.ctx.wall - away.stage_started_at >= self.config.spill.return_pause_s
+        ):
             return ""
-        return away.cell
+        return away.guest_cell
 
     def _offer(self, choice: Choice) -> None:
         job = self.view.jobs[choice.name]
-        epoch = (job.away.epoch if job.away else 0) + 1
-        away = Away(
-            choice.cell, epoch, AwayStage.OFFERED, self.ctx.wall,
-            expected_here=round(choice.here_s, 1), expected_there=round(choice.there_s, 1),
+        epoch = (job.delegation.epoch if job.delegation else 0) + 1
+        away = Delegation(
+            choice.cell, epoch, DelegationStage.OFFERED, self.ctx.wall,
+            expected_home_s=round(choice.here_s, 1), expected_guest_s=round(choice.there_s, 1),
             why=choice.why,
         )  # fmt: skip
         change = edits.offer(away, self.view.since(choice.name, job))
@@ -337,15 +357,22 @@
         grants: list[Handle] = []
         revoked: list[Handle] = []
         for name, job in self._jobs_at(cell.name).items():
-            away = job.away
+            away = job.delegation
             if away is None:
                 continue
             handle = Handle(name, away.epoch, away.reservation)
-            if away.stage == AwayStage.OFFERED:
+            if away.stage == DelegationStage.OFFERED:
                 offers.append(
-                    Offer(handle, job.spec, job.at, job.attempt, job.done, away.expected_here)
+                    Offer(
+                        handle,
+                        job.spec,
+                        job.accepted_at,
+                        job.attempt,
+                        job.done_ranges,
+                        away.expected_home_s,
+                    )
                 )
-            elif away.stage == AwayStage.WITHDRAWN or job.status != records.LIVE:
+            elif away.stage == DelegationStage.WITHDRAWN or job.status != records.LIVE:
                 revoked.append(handle)
             else:
                 grants.append(handle)
@@ -375,7 +402,7 @@
 
     def _is_current(self, cell: str, handle: Handle) -> bool:
         job = self.view.away.get(handle.job)
-        away = job.away if job else None
-        if away is None or (away.cell, away.epoch) != (cell, handle.epoch):
+        away = job.delegation if job else None
+        if away is None or (away.guest_cell, away.epoch) != (cell, handle.epoch):
             return False
-        return away.stage == AwayStage.OFFERED or away.reservation == handle.reservation
+        return away.stage == DelegationStage.OFFERED or away.reservation == handle.reservation
--- a/coursefold/cells/messages.py
+++ b/coursefold/cells/messages.py
@@ -112,9 +112,10 @@
 def _pool(pool: PoolState) -> cell_pb2.Pool:
     kind = pool.kind
     return cell_pb2.Pool(
-        build=kind.name, spot=pool.spot, cpus=kind.cpus, gpus=kind.gpus, memory=kind.memory,
-        zones=kind.zones, fetch=kind.fetch, boot_s=kind.boot, price=pool.price, free=pool.free,
-        ahead=pool.ahead, drain=pool.drain, steady_s=pool.steady_s, growth=pool.growth,
+        build=kind.name, spot=pool.spot, cpus=kind.cpus, gpus=kind.gpus, memory=kind.memory_gb,
+        zones=kind.zones, fetch=kind.fetch_gb_per_s, boot_s=kind.boot_s, price=pool.price,
+        free=pool.free, ahead=pool.ahead, drain=pool.drain, steady_s=pool.steady_s,
+        growth=pool.growth,
     )  # fmt: skip
 
 
@@ -190,14 +191,14 @@
         spec = decode_job(item.spec)
     except MalformedError as wrong:
         raise BadFrameError(f"description of {handle.job}: {wrong}") from None
-    if spec.name != handle.job or spec.shape == "standing":
+    if spec.name != handle.job or spec.kind == "standing":
         raise BadFrameError(f"{handle.job} is offered with the description of {spec.name}")
     return Offer(
         handle,
-        msgspec.structs.replace(spec, prereqs=None),
+        msgspec.structs.replace(spec, prerequisites=None),
         _number(item.at, "at"),
         item.attempt,
-        _read_ranges(list(item.done), handle.job, spec.tasks),
+        _read_ranges(list(item.done), handle.job, spec.task_count),
         _number(item.expected_s, "expected_s"),
     )
 
@@ -217,8 +218,9 @@
         raise BadFrameError("a pool without a type or zones")
     kind = MachineType(
         name=item.build, cpus=_number(item.cpus, "cpus"), gpus=_number(item.gpus, "gpus"),
-        memory=_number(item.memory, "memory"), cache_gb=0.0, fetch=_number(item.fetch, "fetch"),
-        price=0.0, spot_price=0.0, boot=_number(item.boot_s, "boot_s", LONGEST_S),
+        memory_gb=_number(item.memory, "memory"), cache_gb=0.0,
+        fetch_gb_per_s=_number(item.fetch, "fetch"), price_per_hour=0.0, spot_price_per_hour=0.0,
+        boot_s=_number(item.boot_s, "boot_s", LONGEST_S),
         zones=list(item.zones),
     )  # fmt: skip
     return PoolState(
--- a/coursefold/cells/port.py
+++ b/coursefold/cells/port.py
@@ -8,10 +8,10 @@
 from coursefold.coordination.core import Core
 from coursefold.coordination.placement import Place
 from coursefold.coordination.quota import Quota, limit_fits
-from coursefold.protocol.ids import JobId, Moment
+from coursefold.protocol.ids import JobId, MonotonicTime
 from coursefold.protocol.wire import Job
 from coursefold.storage import records
-from coursefold.storage.edits import SOON, Change, Edit
+from coursefold.storage.edits import NORMAL_PRIORITY, Change, Edit
 from coursefold.storage.records import JobRecord, cell_link_key, job_key
 
 QUEUE_EVERY_S = 0.9
@@ -43,12 +43,12 @@
         self.core = core
         self.ctx = core.ctx
         self.view = core.view
-        self.queue_at = Moment(-1e9)
+        self.queue_at = MonotonicTime(-1e9)
         self.last_queue = Queue([], Pools([]), [])
 
     def leads(self) -> bool:
         """May this controller decide for its cell, in the forms that cells need?"""
-        return self.ctx.leading() and self.view.level >= records.WITH_CELLS
+        return self.ctx.leading() and self.view.level >= records.CELLS_LEVEL
 
     def quota(self) -> Quota:
         """The teams' limits and what is used of them now."""
@@ -59,7 +59,7 @@
         team = next((t for t in self.ctx.settings.params.teams if t.name == spec.team), None)
         if team is None:
             return f"team {spec.team} is not known here"
-        if not limit_fits(team, spec, tasks if spec.shape == "ensemble" else 1):
+        if not limit_fits(team, spec, tasks if spec.kind == "ensemble" else 1):
             return f"the job needs more than the limit of team {spec.team} here"
         return ""
 
@@ -118,9 +118,11 @@
         """Jobs of which tasks get a place just now."""
         return {name for name, _ in self.ctx.pending}
 
-    def change_job(self, name: JobId, change: Change, tag: str, rank: int = SOON) -> bool:
+    def change_job(
+        self, name: JobId, change: Change, tag: str, rank: int = NORMAL_PRIORITY
+    ) -> bool:
         """Have a job's record changed; False while the same change is under way."""
-        edit = Edit(job_key(name), change, rank=rank, fence=self.view.token, tag=tag)
+        edit = Edit(job_key(name), change, priority=rank, fencing_token=self.view.token, tag=tag)
         return self.core.queue.propose(edit)
 
     def propose(self, edit: Edit) -> bool:
@@ -129,5 +131,5 @@
 
     def change_link(self, cell: str, change: Change, tag: str) -> bool:
         """Have the record of what is granted to and by another cell changed."""
-        edit = Edit(cell_link_key(cell), change, fence=self.view.token, tag=tag)
+        edit = Edit(cell_link_key(cell), change, fencing_token=self.view.token, tag=tag)
         return self.core.queue.propose(edit)
--- a/coursefold/cells/waits.py
+++ b/coursefold/cells/waits.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from coursefold.histograms import new_histogram, record_seconds
-from coursefold.protocol.ids import JobId, Moment
+from coursefold.protocol.ids import JobId, MonotonicTime
 from coursefold.storage import records
 from coursefold.storage.records import JobRecord
 from coursefold.storage.view import View
@@ -25,7 +25,7 @@
 
 
 def _has_started(job: JobRecord) -> bool:
-    return bool(job.entries or job.done)
+    return bool(job.entries or job.done_ranges)
 
 
 class WaitLog:
@@ -36,7 +36,7 @@
         self.histogram = new_histogram()
         self.expected: dict[JobId, Expected] = {}
         self.pairs: deque[tuple[float, float]] = deque(maxlen=SAMPLES)
-        self.looked_at = Moment(-1e9)
+        self.looked_at = MonotonicTime(-1e9)
 
     def expect(self, name: JobId, wall: float, seconds: float) -> None:
         """Note the model's first word on a waiting job of which nothing has started."""
@@ -44,17 +44,17 @@
         if job is not None and name not in self.expected and not _has_started(job):
             self.expected[name] = Expected(self.view.since(name, job), wall, seconds)
 
-    def look(self, now: Moment, wall: float) -> None:
+    def look(self, now: MonotonicTime, wall: float) -> None:
         """Note which of the jobs that waited have started."""
         if now - self.looked_at < LOOKED_AT_S:
             return
         self.looked_at = now
         for name, expected in list(self.expected.items()):
             job = self.view.jobs.get(name)
-            if job is not None and not _has_started(job) and not job.is_away:
+            if job is not None and not _has_started(job) and not job.is_delegated:
                 continue
             del self.expected[name]
-            if job is None or job.status != records.LIVE or job.is_away:
+            if job is None or job.status != records.LIVE or job.is_delegated:
                 continue  # it ended unseen, was cancelled, or waits elsewhere
             waited = max(0.0, wall - expected.since)
             record_seconds(self.histogram, waited)
--- a/coursefold/coordination/cancellations.py
+++ b/coursefold/coordination/cancellations.py
@@ -18,7 +18,7 @@
 
 from coursefold.coordination.context import Context, PeerView
 from coursefold.protocol import peer_pb2
-from coursefold.protocol.ids import JobId, Moment, is_job_id
+from coursefold.protocol.ids import JobId, MonotonicTime, is_job_id
 from coursefold.storage import records
 from coursefold.storage.records import job_key
 
@@ -65,7 +65,7 @@
     )
 
 
-def take(ctx: Context, peer: PeerView, told: peer_pb2.Cancellations, sent: Moment) -> None:
+def take(ctx: Context, peer: PeerView, told: peer_pb2.Cancellations, sent: MonotonicTime) -> None:
     """Note a sibling's word: what it hands over, and up to when nothing of it is unknown to us."""
     if not ctx.view.loaded:
         return
@@ -95,10 +95,10 @@
     apart: it is the one of the roster that we hold, or we had heard of it before.
     """
     roster = ctx.view.roster
-    member = roster.member(peer.member) if roster else None
+    member = roster.find_member(peer.member) if roster else None
     if not peer.permit:
         return False
-    return (member is not None and member.permit == peer.permit) or (
+    return (member is not None and member.lease_id == peer.permit) or (
         peer.permit_at <= ctx.follow_ok_at
     )
 
--- a/coursefold/coordination/cloud.py
+++ b/coursefold/coordination/cloud.py
@@ -12,8 +12,8 @@
 from coursefold.coordination.context import Context
 from coursefold.coordination.demand import PoolId
 from coursefold.coordination.effects import CloudCall
-from coursefold.storage.limits import Budget
-from coursefold.storage.records import Hire
+from coursefold.storage.limits import TokenBucket
+from coursefold.storage.records import Rental
 
 OWN_SHARE = 0.8  # of the cloud's rate; a former leader's last requests take some, too
 LEAST_HIRES_AT_ONCE = 2
@@ -36,7 +36,7 @@
     """A rental request that awaits its answer, and the pool that it is for."""
 
     pool: PoolId
-    hire: Hire
+    hire: Rental
 
 
 class ListSubject(NamedTuple):
@@ -76,7 +76,7 @@
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
         rate = ctx.settings.params.cloud.rps
-        self.budget = Budget(rate * OWN_SHARE, max(1.0, rate))
+        self.budget = TokenBucket(rate * OWN_SHARE, max(1.0, rate))
         self.pending: dict[int, Pending] = {}
         self.last_call = 0
         self.pause_until = 0.0
@@ -85,12 +85,12 @@
     def send(self, verb: Verb, body: dict[str, Any], subject: Subject) -> bool:
         """Send a request; False if the rate or what is under way does not allow it now."""
         ctx = self.ctx
-        if ctx.now < self.pause_until or self.budget.fill(ctx.now) < 1.0:
+        if ctx.now < self.pause_until or self.budget.refill(ctx.now) < 1.0:
             return False
         most = self.most_hires if verb is Verb.HIRE else 1
         if sum(1 for call in self.pending.values() if call.verb is verb) >= most:
             return False
-        self.budget.take(ctx.now, 1.0)
+        self.budget.spend(ctx.now, 1.0)
         self.last_call += 1
         self.pending[self.last_call] = Pending(verb, subject)
         ctx.out.append(CloudCall(self.last_call, verb, body))
--- a/coursefold/coordination/commands.py
+++ b/coursefold/coordination/commands.py
@@ -12,8 +12,8 @@
 from coursefold.coordination.effects import Direct
 from coursefold.coordination.steps import Steps
 from coursefold.protocol.ids import JobId
-from coursefold.protocol.wire import Order, Report, TaskReport
-from coursefold.storage.records import DEALT, LIVE, PLACED, STOPPING, Entry, JobRecord
+from coursefold.protocol.wire import Command, Report, TaskReport
+from coursefold.storage.records import ASSIGNED, LIVE, PLACED, STOPPING, JobRecord, TaskEntry
 
 log = logging.getLogger(__name__)
 
@@ -29,14 +29,14 @@
     def __init__(self, ctx: Context, steps: Steps) -> None:
         self.ctx, self.steps = ctx, steps
 
-    def for_report(self, machine: Machine, report: Report) -> list[Order]:
+    def for_report(self, machine: Machine, report: Report) -> list[Command]:
         """Compare what is there with what should be, and command the difference."""
         ctx = self.ctx
-        forgets: list[Order] = []
-        stops: list[Order] = []
-        runs: list[Order] = []
+        forgets: list[Command] = []
+        stops: list[Command] = []
+        runs: list[Command] = []
         entries = {
-            (job, e.index): e for job, e in ctx.view.on_machine(machine.id) if e.stage != DEALT
+            (job, e.index): e for job, e in ctx.view.on_machine(machine.id) if e.stage != ASSIGNED
         }
         for (name, number), item in machine.tasks.items():
             place = (JobId(name), number)
@@ -46,16 +46,16 @@
                 if known and entry is not None and item.cause not in STARTED_AGAIN:
                     self._exited(machine, JobId(place[0]), entry, item)
                 else:
-                    forgets.append(Order("forget", item.task, item.attempt))
+                    forgets.append(Command("forget", item.task, item.attempt))
                 continue
             if not known or entry is None:
-                stops.append(Order("stop", item.task, item.attempt, 0.0))
+                stops.append(Command("stop", item.task, item.attempt, 0.0))
                 continue
             job = ctx.view.jobs[JobId(place[0])]
             if cancellations.is_off(ctx, place[0]):
-                stops.append(Order("stop", item.task, item.attempt, 0.0))
+                stops.append(Command("stop", item.task, item.attempt, 0.0))
             elif entry.stage == STOPPING and item.state != "flushing":
-                stops.append(Order("stop", item.task, item.attempt, self._grace(job)))
+                stops.append(Command("stop", item.task, item.attempt, self._grace(job)))
             elif entry.stage == PLACED:
                 self._drain(machine, JobId(place[0]), job, entry)
         for place, entry in entries.items():
@@ -64,10 +64,10 @@
 
     @staticmethod
     def _grace(job: JobRecord) -> float:
-        return job.spec.save + 1.0 if job.spec.checkpoint > 0 else 0.0
+        return job.spec.checkpoint_save_s + 1.0 if job.spec.checkpoint_interval_s > 0 else 0.0
 
     def _missing(
-        self, machine: Machine, report: Report, job_id: JobId, entry: Entry, runs: list[Order]
+        self, machine: Machine, report: Report, job_id: JobId, entry: TaskEntry, runs: list[Command]
     ) -> None:
         """A task that should be here and is not listed, or belongs to an older session."""
         ctx = self.ctx
@@ -88,7 +88,7 @@
         if job.status == LIVE and entry.stage == PLACED:
             if cancellations.is_off(ctx, job_id):
                 return  # its own news decides what becomes of the place
-            runs.append(Order("run", f"{job_id}/{entry.index}", entry.attempt))
+            runs.append(Command("run", f"{job_id}/{entry.index}", entry.attempt))
             return
         # Proof of absence. A worker has one report in flight, so this one, newer than
         # any we answered, shows what came of our own `run`. Only under our own token:
@@ -96,21 +96,21 @@
         if report.token == ctx.token_of(machine.id):
             self.gone(job_id, entry, machine)
 
-    def gone(self, job_id: JobId, entry: Entry, machine: Machine) -> None:
+    def gone(self, job_id: JobId, entry: TaskEntry, machine: Machine) -> None:
         """Have it written that a task's place is proven gone."""
         self.steps.propose(job_id, "gone", entry, f"gone{entry.index}", machine=machine.id)
 
-    def _drain(self, machine: Machine, job_id: JobId, job: JobRecord, entry: Entry) -> None:
+    def _drain(self, machine: Machine, job_id: JobId, job: JobRecord, entry: TaskEntry) -> None:
         """Save a task's progress before its machine is taken."""
-        if machine.recall_at is None or job.spec.checkpoint <= 0:
+        if machine.recall_at is None or job.spec.checkpoint_interval_s <= 0:
             return
         left = machine.recall_at - self.ctx.now
         report = self.ctx.settings.params.workers.report_s
-        if job.spec.save < left < job.spec.save + 2.5 * report + 2.0:
-            kind = "stop_all" if job.spec.shape == "ensemble" else "stop"
+        if job.spec.checkpoint_save_s < left < job.spec.checkpoint_save_s + 2.5 * report + 2.0:
+            kind = "stop_all" if job.spec.kind == "ensemble" else "stop"
             self.steps.propose(job_id, kind, entry, f"stop{entry.index}")
 
-    def _exited(self, machine: Machine, job_id: JobId, entry: Entry, item: TaskReport) -> None:
+    def _exited(self, machine: Machine, job_id: JobId, entry: TaskEntry, item: TaskReport) -> None:
         """Record an exit; `forget` follows once it is recorded."""
         ctx = self.ctx
         cause = item.cause
@@ -129,7 +129,7 @@
             kind = "gone"
         if self.steps.propose(job_id, kind, entry, tag, machine=machine.id):
             if begun is not None:
-                ctx.finished.append((job.spec.lane, ctx.now - begun))
+                ctx.finished.append((job.spec.job_class, ctx.now - begun))
             log.info(
                 "task %s/%d#%d on %s: %s", job_id, entry.index, entry.attempt, machine.id, cause
             )
@@ -179,7 +179,7 @@
             ):
                 machine.stops_sent.add(key)
                 grace = 0.0 if off else self._grace(job)
-                orders.append(Order("stop", f"{job_id}/{entry.index}", entry.attempt, grace))
+                orders.append(Command("stop", f"{job_id}/{entry.index}", entry.attempt, grace))
         if orders:
             token = ctx.token_of(machine.id)
             ctx.out.append(Direct(machine.addr, token, machine.session, orders))
--- a/coursefold/coordination/context.py
+++ b/coursefold/coordination/context.py
@@ -6,7 +6,7 @@
 from coursefold.coordination.parts import owner
 from coursefold.coordination.placement import Market, Room
 from coursefold.policy import Policy
-from coursefold.protocol.ids import JobId, Member, Moment, WallTime
+from coursefold.protocol.ids import JobId, MemberName, MonotonicTime, WallTime
 from coursefold.protocol.wire import Catalog, Job, MachineType, TaskReport
 from coursefold.settings import CLOCK_DRIFT, Settings
 from coursefold.storage.queue import CommitQueue
@@ -29,8 +29,8 @@
         self.session = 0
         self.counter = -1
         self.token = 0
-        self.heard = Moment(0.0)
-        self.answered = Moment(0.0)
+        self.heard = MonotonicTime(0.0)
+        self.answered = MonotonicTime(0.0)
         self.recall_at: float | None = None
         self.tasks: dict[tuple[str, int], TaskReport] = {}
         self.running: dict[tuple[str, int, int], float] = {}
@@ -44,7 +44,7 @@
         self.deaf = False
         self.deaf_since: float | None = None
         self.lent_until = 0.0
-        self.idle_since = Moment(0.0)
+        self.idle_since = MonotonicTime(0.0)
         self.lost = False
 
     def remember_image(self, image: str, size: float, cache: float) -> None:
@@ -85,11 +85,11 @@
         self.member, self.link = member, link
         self.seq = 0
         self.token = self.permit = 0
-        self.permit_at = Moment(1e18)  # when its lease was first heard of
+        self.permit_at = MonotonicTime(1e18)  # when its lease was first heard of
         self.ledger = self.roster = 0
-        self.known_until = Moment(-1e9)  # we know what it confirmed until then
+        self.known_until = MonotonicTime(-1e9)  # we know what it confirmed until then
         self.state_age = 0.0
-        self.at = Moment(-1e9)
+        self.at = MonotonicTime(-1e9)
         self.machines: dict[str, PeerMachine] = {}
         self.complete = False  # all its rows have come
         self.wanted: frozenset[str] = frozenset()
@@ -112,15 +112,15 @@
         self.settings, self.view, self.queue = settings, view, queue
         self.grants = GrantClock(view)
         self.ownership = OwnershipTable(view)
-        self.me = Member(settings.member)
-        self.now, self.wall = Moment(0.0), WallTime(0.0)
-        self.started: Moment | None = None
+        self.me = MemberName(settings.member)
+        self.now, self.wall = MonotonicTime(0.0), WallTime(0.0)
+        self.started: MonotonicTime | None = None
         self.out: list[Effect] = []
         self.permit = 0
-        self.lease_until = Moment(0.0)
-        self.state_ok_at = Moment(0.0)
-        self.follow_ok_at = Moment(0.0)
-        self.token_since = Moment(0.0)
+        self.lease_until = MonotonicTime(0.0)
+        self.state_ok_at = MonotonicTime(0.0)
+        self.follow_ok_at = MonotonicTime(0.0)
+        self.token_since = MonotonicTime(0.0)
         self.token_seen = 0
         self.machines: dict[str, Machine] = {}
         self.peers: dict[str, PeerView] = {}
@@ -145,8 +145,8 @@
     def my_record(self) -> MemberRecord | None:
         """Our place in the roster, if it is this incarnation's."""
         roster = self.view.roster
-        mine = roster.member(self.me) if roster else None
-        return mine if mine and self.permit and mine.permit == self.permit else None
+        mine = roster.find_member(self.me) if roster else None
+        return mine if mine and self.permit and mine.lease_id == self.permit else None
 
     def active(self) -> bool:
         """True while we may decide: in the roster, our lease safe, our view fresh."""
@@ -221,15 +221,15 @@
         catalog = self.view.catalog
         if catalog is not self._kinds_of:
             self._kinds_of = catalog
-            self._kinds = {t.name: t for t in catalog.builds} if catalog else {}
+            self._kinds = {t.name: t for t in catalog.machine_types} if catalog else {}
         return self._kinds.get(build)
 
     def market(self) -> Market:
         """By one job of each class; looked at anew now and then."""
         catalog = self.view.catalog
         if catalog is not None and self.now - self._market_at > MARKET_S:
-            lanes = {job.spec.lane: job.spec for job in self.view.jobs.values()}
-            self._market, self._market_at = Market(catalog.builds, lanes.values()), self.now
+            lanes = {job.spec.job_class: job.spec for job in self.view.jobs.values()}
+            self._market, self._market_at = Market(catalog.machine_types, lanes.values()), self.now
         return self._market
 
     def room(self, id: str) -> Room | None:
--- a/coursefold/coordination/core.py
+++ b/coursefold/coordination/core.py
@@ -23,12 +23,12 @@
 from coursefold.coordination.requests import Requests
 from coursefold.coordination.upgrade import Upgrade
 from coursefold.policy import Policy
-from coursefold.protocol.ids import JobId, Moment, WallTime
+from coursefold.protocol.ids import JobId, MonotonicTime, WallTime
 from coursefold.protocol.wire import MalformedError, decode_report
 from coursefold.settings import Settings
 from coursefold.storage import records
-from coursefold.storage.edits import LATER, Edit
-from coursefold.storage.limits import Limits
+from coursefold.storage.edits import LOW_PRIORITY, Edit
+from coursefold.storage.limits import StateServiceLimits
 from coursefold.storage.queue import CommitQueue
 from coursefold.storage.records import Ending, JobRecord, job_key
 from coursefold.storage.view import View
@@ -50,7 +50,7 @@
             txn_ops=state.txn_ops,
             value_kb=state.value_kb,
             write_rps=state.write_rps,
-            later=Limits(later.txn_ops, int(later.value_kb * 1024), later.write_rps)
+            later=StateServiceLimits(later.txn_ops, int(later.value_kb * 1024), later.write_rps)
             if state.next
             else None,
         )
@@ -69,7 +69,7 @@
         self.requests = Requests(self.ctx, lambda: self.leader.reasons)
         self.was_leading = False
 
-    def at(self, now: Moment, wall: WallTime) -> None:
+    def at(self, now: MonotonicTime, wall: WallTime) -> None:
         """Set the time of the inputs that follow."""
         ctx = self.ctx
         ctx.now, ctx.wall = now, wall
@@ -123,7 +123,13 @@
         named = self.view.needs.named
         for name in list(islice((n for n in unswept if not named(n)), SWEEP)):
             self.queue.propose(
-                Edit(job_key(name), jobs.sweep(), rank=LATER, fence=self.view.token, tag="sweep")
+                Edit(
+                    job_key(name),
+                    jobs.sweep(),
+                    priority=LOW_PRIORITY,
+                    fencing_token=self.view.token,
+                    tag="sweep",
+                )
             )
 
     def stop_tasks(self, names: Iterable[JobId]) -> None:
@@ -185,7 +191,7 @@
             "version": __version__,
             "leader": roster.leader if roster else None,
             "members": [m.name for m in roster.members] if roster else [],
-            "switched": self.view.level >= records.OURS,
+            "switched": self.view.level >= records.BASE_LEVEL,
             "older": self.upgrade.waits_for() if self.view.loaded else None,
         }
         for extension in self.extensions:
--- a/coursefold/coordination/demand.py
+++ b/coursefold/coordination/demand.py
@@ -68,16 +68,16 @@
         if now - self.counted_at > 30.0:
             self.means.clear()
             self.counted_at = now
-        found = self.means.get(spec.lane)
+        found = self.means.get(spec.job_class)
         if found is not None:
             return found
-        seen = self.seen.get(spec.lane)
+        seen = self.seen.get(spec.job_class)
         while seen and seen[0][0] < now - HISTORY_S:
             seen.popleft()
         if seen:
-            mean = self.means[spec.lane] = max(MIN_RUN_S, sum(s for _, s in seen) / len(seen))
+            mean = self.means[spec.job_class] = max(MIN_RUN_S, sum(s for _, s in seen) / len(seen))
             return mean
-        return max(MIN_RUN_S, spec.estimate or DEFAULT_RUN_S)
+        return max(MIN_RUN_S, spec.estimated_run_s or DEFAULT_RUN_S)
 
 
 class Need(NamedTuple):
@@ -115,7 +115,11 @@
     @property
     def price(self) -> float:
         """Per slot and second."""
-        return (self.kind.spot_price if self.spot else self.kind.price) / 3600.0 / self.k
+        return (
+            (self.kind.spot_price_per_hour if self.spot else self.kind.price_per_hour)
+            / 3600.0
+            / self.k
+        )
 
     @property
     def mean_busy(self) -> float:
@@ -153,10 +157,10 @@
 
 def effective_price(spec: Job, kind: MachineType, spot: bool, run: float, loss: float) -> float:
     """Price of one task's run, with its boot, its fetch and what a loss repeats."""
-    hourly = kind.spot_price if spot else kind.price
-    fetch = spec.image_gb / kind.fetch if kind.fetch else 0.0
-    lost = loss * (min(spec.checkpoint, run) if spec.checkpoint else run)
-    overhead = 1.0 + (fetch + 0.3 * kind.boot) / max(run, 10.0) + lost
+    hourly = kind.spot_price_per_hour if spot else kind.price_per_hour
+    fetch = spec.image_gb / kind.fetch_gb_per_s if kind.fetch_gb_per_s else 0.0
+    lost = loss * (min(spec.checkpoint_interval_s, run) if spec.checkpoint_interval_s else run)
+    overhead = 1.0 + (fetch + 0.3 * kind.boot_s) / max(run, 10.0) + lost
     return hourly * share(spec, kind) * overhead
 
 
@@ -179,7 +183,7 @@
         self.blocked, self.losses = blocked, losses
         self.pools = {
             PoolId(kind.name, spot): PoolDemand(kind, spot, window)
-            for kind in catalog.builds
+            for kind in catalog.machine_types
             for spot in (False, True)
         }
 
@@ -193,10 +197,10 @@
 
     def choices(self, spec: Job) -> list[PoolId]:
         """Pools that the job allows, cheapest first."""
-        run = self.runs.mean(spec, self.now) if spec.shape != "standing" else 600.0
+        run = self.runs.mean(spec, self.now) if spec.kind != "standing" else 600.0
         found = []
         for pool, demand in self.pools.items():
-            if fits_type(spec, demand.kind) and (spec.spot or not pool.spot):
+            if fits_type(spec, demand.kind) and (spec.may_use_spot or not pool.spot):
                 loss = self.losses.get(pool, 0.0)
                 price = effective_price(spec, demand.kind, pool.spot, run, loss)
                 found.append((price + self.market.displaced(spec, demand.kind), pool))
@@ -211,7 +215,7 @@
 
     def arrived(self, spec: Job, tasks: int) -> None:
         """Count an arrival of the window; a pool that cannot grow takes what it has."""
-        if spec.shape == "standing":
+        if spec.kind == "standing":
             return
         run = self.runs.mean(spec, self.now)
         left = float(tasks)
@@ -239,7 +243,7 @@
             return
         w = weight(spec, demand.kind)
         demand.busy += w
-        if spec.shape == "standing":
+        if spec.kind == "standing":
             demand.service += w
         else:
             demand.batch += w
@@ -250,7 +254,7 @@
         floor = gangs.Floor(r for r in rooms if not r.lent)
         for need in needs:
             spec = need.spec
-            if spec.shape == "ensemble" and need.tasks > 1:
+            if spec.kind == "ensemble" and need.tasks > 1:
                 self._pack_gang(need, floor)
                 continue
             zones = dict(need.zones)
@@ -262,7 +266,7 @@
             for done in range(need.tasks):
                 room = picker.take() if picker else None
                 if room is None:
-                    if not (spec.apart or spec.together):
+                    if not (spec.spread_zones or spec.same_zone):
                         self.refused.add(spec)
                     left = need.tasks - done
                     left -= self._relieved(need, left)
@@ -279,12 +283,12 @@
         window, arrays that had slack used it up here and were late for the rest.
         """
         spec = need.spec
-        if spec.shape == "standing":
+        if spec.kind == "standing":
             return 0
         found = 0
         for pool in self.choices(spec):
             demand = self.pools[pool]
-            horizon = max(demand.kind.boot, min(need.slack, RELIEF_S))
+            horizon = max(demand.kind.boot_s, min(need.slack, RELIEF_S))
             w = weight(spec, demand.kind)
             freed = demand.batch * min(1.0, horizon / max(demand.mean_busy, 1.0))
             take = min(tasks - found, int((freed - demand.promised) / w))
@@ -299,7 +303,7 @@
             return
         w = weight(spec, demand.kind)
         demand.queued += w
-        if spec.shape == "standing":
+        if spec.kind == "standing":
             demand.service += w
 
     def _pack_gang(self, need: Need, floor: gangs.Floor) -> None:
@@ -342,20 +346,20 @@
         spec = need.spec
         for pool in self.choices(spec):
             open_zones = self.open_zones(pool, spec)
-            if spec.together and zones:
+            if spec.same_zone and zones:
                 open_zones = [z for z in open_zones if z in zones]
             if not open_zones:
                 continue
             demand = self.pools[pool]
             w = weight(spec, demand.kind)
             for _ in range(tasks):
-                if spec.apart or spec.zone is not None:
+                if spec.spread_zones or spec.zone is not None:
                     zone = min(open_zones, key=lambda z: (zones.get(z, 0), z))
                     zones[zone] = zones.get(zone, 0) + 1
                     demand.zones[zone] = demand.zones.get(zone, 0.0) + w
                 if spec.zone is not None and need.age > PATIENT_S:
                     demand.apart += w
-                if spec.shape == "standing":
+                if spec.kind == "standing":
                     demand.service += w
                     demand.queued += w
                 else:
--- a/coursefold/coordination/effects.py
+++ b/coursefold/coordination/effects.py
@@ -2,7 +2,7 @@
 
 from typing import Any, NamedTuple
 
-from coursefold.protocol.wire import Order
+from coursefold.protocol.wire import Command
 
 
 class Answer(NamedTuple):
@@ -45,7 +45,7 @@
     addr: str
     token: int
     session: int
-    orders: list[Order]
+    orders: list[Command]
 
 
 Effect = Answer | Vouch | Read | CloudCall | Tell | Direct
--- a/coursefold/coordination/election.py
+++ b/coursefold/coordination/election.py
@@ -15,7 +15,7 @@
 from coursefold.coordination.parts import weight
 from coursefold.coordination.upgrade import Upgrade
 from coursefold.storage import records
-from coursefold.storage.edits import FIRST, Change, Edit, NotApplicableError, Result
+from coursefold.storage.edits import HIGH_PRIORITY, Change, Edit, EditResult, NotApplicableError
 from coursefold.storage.records import MemberRecord, Roster
 
 log = logging.getLogger(__name__)
@@ -89,7 +89,7 @@
         if not ctx.view.loaded or not ctx.permit or ctx.now >= ctx.lease_until:
             return
         mine = ctx.view.members.get(ctx.me)
-        if mine is None or mine.permit != ctx.permit:
+        if mine is None or mine.lease_id != ctx.permit:
             self._join()
             return
         if not self.upgrade.speaks(ctx.me):
@@ -138,7 +138,7 @@
 
     def _leader_is_live(self, roster: Roster) -> bool:
         """Does the roster's leader still hold its lease, in the same incarnation, in reach?"""
-        leader = roster.member(roster.leader)
+        leader = roster.find_member(roster.leader)
         return (
             leader is not None
             and self.ctx.view.members.get(leader.name) == leader
@@ -179,7 +179,7 @@
         """Our place in line: those that served under the last roster first."""
 
         def key(m: MemberRecord) -> tuple[bool, bytes]:
-            known = roster is not None and roster.member(m.name) == m
+            known = roster is not None and roster.find_member(m.name) == m
             return (not known, weight(m.name, str(self.ctx.view.token)))
 
         line = sorted(members, key=key)
@@ -191,29 +191,31 @@
         self.upgrade.announce()
         record = MemberRecord(ctx.me, ctx.permit, ctx.settings.zone)
 
-        def change(current: Struct | None) -> Result:
+        def change(current: Struct | None) -> EditResult:
             if current == record:
                 raise NotApplicableError("member already")
-            if record.permit != ctx.permit:
+            if record.lease_id != ctx.permit:
                 raise NotApplicableError("lease replaced")
             return record
 
         key = records.member_key(ctx.me)
-        edit = Edit(key, change, rank=FIRST, permit=ctx.permit, tag=f"join{ctx.permit}")
+        edit = Edit(
+            key, change, priority=HIGH_PRIORITY, lease_id=ctx.permit, tag=f"join{ctx.permit}"
+        )
         if ctx.queue.propose(edit):
             log.info("joining as member %s with lease %d", ctx.me, ctx.permit)
 
     def _commit(self, roster: Roster, why: str) -> None:
         ctx = self.ctx
-        seen = ctx.view.stamp(records.ROSTER)
+        seen = ctx.view.stamp(records.ROSTER_KEY)
 
-        def change(current: Struct | None) -> Result:
-            if ctx.view.stamp(records.ROSTER) != seen:
+        def change(current: Struct | None) -> EditResult:
+            if ctx.view.stamp(records.ROSTER_KEY) != seen:
                 raise NotApplicableError("roster moved on")
             return msgspec.structs.replace(roster)
 
         done_change: Change = change
-        edit = Edit(records.ROSTER, done_change, rank=FIRST, tag=f"roster{seen}")
+        edit = Edit(records.ROSTER_KEY, done_change, priority=HIGH_PRIORITY, tag=f"roster{seen}")
         if ctx.queue.propose(edit):
             names = ",".join(m.name for m in roster.members)
             log.info("roster: leader %s, members %s (%s)", roster.leader, names, why)
--- a/coursefold/coordination/fleet.py
+++ b/coursefold/coordination/fleet.py
@@ -26,9 +26,9 @@
 from coursefold.coordination.leader import Leader
 from coursefold.coordination.placement import Place
 from coursefold.coordination.pools import LONGEST_PERIOD_S, PoolControl
-from coursefold.protocol.wire import Catalog, Listed, MachineList, MalformedError, decode
+from coursefold.protocol.wire import Catalog, ListedMachine, MachineList, MalformedError, decode
 from coursefold.storage import records
-from coursefold.storage.edits import LATER, Edit, NotApplicableError, Result
+from coursefold.storage.edits import LOW_PRIORITY, Edit, EditResult, NotApplicableError
 
 log = logging.getLogger(__name__)
 
@@ -65,7 +65,7 @@
         self.hires.clear()
         self.pools.clear()
         self.cloud.forget()
-        self.listed: list[Listed] = []
+        self.listed: list[ListedMachine] = []
         self.page_from = ""
         self.lists_read = 0
         self.list_at = -math.inf
@@ -101,25 +101,28 @@
     def _take_catalog(self, catalog: Catalog) -> None:
         self.catalog_at = self.ctx.now
 
-        def change(current: Struct | None) -> Result:
+        def change(current: Struct | None) -> EditResult:
             if current == catalog:
                 raise NotApplicableError("same")
             return catalog
 
-        for kind in catalog.builds:
+        for kind in catalog.machine_types:
             log.debug(
                 "type %s: %g cpus, %g accelerators, %g GB, %g an hour, %g when spot",
-                kind.name, kind.cpus, kind.gpus, kind.memory, kind.price, kind.spot_price,
+                kind.name, kind.cpus, kind.gpus, kind.memory_gb, kind.price_per_hour,
+                kind.spot_price_per_hour,
             )  # fmt: skip
-        key = records.TYPES if self.ctx.view.level else records.CATALOG
+        key = records.MACHINE_TYPES_KEY if self.ctx.view.level else records.CATALOG_KEY
         fence = self.ctx.view.token
-        self.ctx.queue.propose(Edit(key, change, fence=fence, rank=LATER, tag="catalog"))
+        self.ctx.queue.propose(
+            Edit(key, change, fencing_token=fence, priority=LOW_PRIORITY, tag="catalog")
+        )
 
     def _take_page(self, subject: ListSubject, page: MachineList) -> None:
         if subject.page_from != self.page_from:
             return
         self.listed.extend(page.machines)
-        if page.more and page.machines:
+        if page.has_more and page.machines:
             self.page_from = page.machines[-1].name
             self._ask_list()
             return
--- a/coursefold/coordination/forward.py
+++ b/coursefold/coordination/forward.py
@@ -15,7 +15,7 @@
 from coursefold.coordination.summary import Teller
 from coursefold.protocol import peer_pb2
 from coursefold.protocol.ids import JobId, is_job_id
-from coursefold.storage.edits import SOON, Edit
+from coursefold.storage.edits import NORMAL_PRIORITY, Edit
 from coursefold.storage.records import job_key
 
 log = logging.getLogger(__name__)
@@ -137,7 +137,13 @@
                 self._answer(sender, id, ok, why, ctx.view.changed_at(job_key(job)))
 
             ctx.queue.propose(
-                Edit(job_key(job), step.change(), rank=SOON, fence=item.token, done=settled)
+                Edit(
+                    job_key(job),
+                    step.change(),
+                    priority=NORMAL_PRIORITY,
+                    fencing_token=item.token,
+                    on_settled=settled,
+                )
             )
 
     def _answer(self, member: str, id: int, ok: bool, why: str, ledger: int) -> None:
--- a/coursefold/coordination/gangs.py
+++ b/coursefold/coordination/gangs.py
@@ -30,7 +30,7 @@
         and allowed(spec, r)
         and not (r.kept and market.fences(spec, r))
     ]
-    zones = sorted({r.zone for r in usable}) if spec.together else [""]
+    zones = sorted({r.zone for r in usable}) if spec.same_zone else [""]
     weigh = Weigher(spec, market, slack)
     costs = {r.id: weigh(r) for r in usable}
     ranked = sorted(usable, key=lambda r: costs[r.id])
@@ -50,19 +50,19 @@
     plan: list[Room] = []
     before: dict[str, dict[str, float]] = {}
     for room in ranked:
-        while len(plan) < spec.tasks and room.holds(spec):
+        while len(plan) < spec.task_count and room.holds(spec):
             if limit is not None and by_zone.get(room.zone, 0) >= limit:
                 break
             before.setdefault(room.id, room.fetching)
             room.take(spec)
             plan.append(room)
             by_zone[room.zone] = by_zone.get(room.zone, 0) + 1
-        if len(plan) == spec.tasks:
+        if len(plan) == spec.task_count:
             break
     for room in plan:
         room.give(spec)
         room.fetching = before[room.id]
-    return plan if len(plan) == spec.tasks else None
+    return plan if len(plan) == spec.task_count else None
 
 
 class Floor:
@@ -82,7 +82,11 @@
 
     @staticmethod
     def _kind(spec: Job) -> tuple[object, ...]:
-        return (None if spec.builds is None else tuple(spec.builds), spec.zone, spec.spot)
+        return (
+            None if spec.machine_types is None else tuple(spec.machine_types),
+            spec.zone,
+            spec.may_use_spot,
+        )
 
     def usable(self, spec: Job) -> list[Room]:
         """Rooms that the job allows and that are not kept for another."""
@@ -95,7 +99,7 @@
 
     def holding(self, spec: Job) -> list[Room]:
         """Usable rooms with place for one task; in a round rooms only become fuller."""
-        key = (*self._kind(spec), spec.cpus, spec.gpus, spec.memory)
+        key = (*self._kind(spec), spec.cpus, spec.gpus, spec.memory_gb)
         found = self._holding.get(key)
         if found is None:
             found = self.usable(spec)
@@ -109,16 +113,16 @@
         more, and machines were gathered for a gang that could never have them, while
         arrays waited for minutes beside the other parts.
         """
-        key = (*self._kind(spec), spec.together, spec.cpus, spec.gpus, spec.memory)
+        key = (*self._kind(spec), spec.same_zone, spec.cpus, spec.gpus, spec.memory_gb)
         most = self._places.get(key)
         if most is None:
             by_zone: dict[str, int] = {}
             for room in self.rooms:
                 if allowed(spec, room) and not (room.draining and not room.reserved):
-                    zone = room.zone if spec.together else ""
+                    zone = room.zone if spec.same_zone else ""
                     by_zone[zone] = by_zone.get(zone, 0) + room.places(spec)
             most = self._places[key] = max(by_zone.values(), default=0)
-        return most >= spec.tasks
+        return most >= spec.task_count
 
     def reserve(self, spec: Job) -> list[Room]:
         """Rooms to keep free for a gang that does not fit yet: the emptiest of one zone.
@@ -126,12 +130,12 @@
         The order is that of the round's first look: what a task has taken since changes
         it by little, and only what lesser work is kept off depends on it.
         """
-        kind = (*self._kind(spec), spec.together)
+        kind = (*self._kind(spec), spec.same_zone)
         by_zone = self._emptiest.get(kind)
         if by_zone is None:
             by_zone = self._emptiest[kind] = {}
             for room in sorted(self.usable(spec), key=lambda r: (r.left, r.id)):
-                by_zone.setdefault(room.zone if spec.together else "", []).append(room)
+                by_zone.setdefault(room.zone if spec.same_zone else "", []).append(room)
         best: list[Room] = []
         most = -1.0
         for _, rooms in sorted(by_zone.items()):
@@ -139,7 +143,7 @@
                 rooms.pop()
             plan: list[Room] = []
             for room in reversed(rooms):
-                if len(plan) == spec.tasks:
+                if len(plan) == spec.task_count:
                     break
                 if not room.draining:
                     plan.append(room)
--- a/coursefold/coordination/grants.py
+++ b/coursefold/coordination/grants.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from coursefold.protocol.ids import Moment, WallTime
+from coursefold.protocol.ids import MonotonicTime, WallTime
 from coursefold.settings import CLOCK_DRIFT
 from coursefold.storage.records import JobRecord
 from coursefold.storage.view import View
@@ -16,7 +16,7 @@
     """A grant's end as recorded, and when this process first saw it."""
 
     held_until: float
-    at: Moment
+    at: MonotonicTime
 
 
 class GrantClock:
@@ -26,14 +26,14 @@
         self.view = view
         self.seen: dict[str, Seen] = {}
 
-    def observe(self, now: Moment) -> None:
+    def observe(self, now: MonotonicTime) -> None:
         """Note the grants that the records show; called whenever time is set."""
         for cell, link in self.view.links.items():
             known = self.seen.get(cell)
             if known is None or known.held_until != link.held_until:
                 self.seen[cell] = Seen(link.held_until, now)
 
-    def lapsed(self, home: str, now: Moment, wall: WallTime) -> bool:
+    def lapsed(self, home: str, now: MonotonicTime, wall: WallTime) -> bool:
         """Has the home cell's grant ended?
 
         By the steady clock it ends no later than its whole span after it was first seen,
@@ -45,6 +45,10 @@
             return True
         return now - seen.at > link.held_s * CLOCK_DRIFT
 
-    def is_over(self, job: JobRecord | None, now: Moment, wall: WallTime) -> bool:
+    def is_over(self, job: JobRecord | None, now: MonotonicTime, wall: WallTime) -> bool:
         """Is this another cell's job whose grant has ended?"""
-        return job is not None and job.guest is not None and self.lapsed(job.guest.home, now, wall)
+        return (
+            job is not None
+            and job.guest is not None
+            and self.lapsed(job.guest.home_cell, now, wall)
+        )
--- a/coursefold/coordination/hires.py
+++ b/coursefold/coordination/hires.py
@@ -14,10 +14,10 @@
 from coursefold.coordination.demand import PoolId
 from coursefold.coordination.inventory import Inventory
 from coursefold.coordination.placement import Place
-from coursefold.protocol.wire import Boxes, decode
+from coursefold.protocol.wire import MachineNames, decode
 from coursefold.storage import codec
-from coursefold.storage.edits import Edit, NotApplicableError, Result
-from coursefold.storage.records import Hire, PoolRecord, pool_key
+from coursefold.storage.edits import Edit, EditResult, NotApplicableError
+from coursefold.storage.records import PoolRecord, Rental, pool_key
 
 log = logging.getLogger(__name__)
 
@@ -75,22 +75,22 @@
             self.count += 1
             name = f"r-{ctx.view.token}-{self.count}"
             log.info("rent %d of %s in %s (%s)", part, pool, zone, name)
-            self._write(pool, name, Hire(name, zone, pool.spot, part, ctx.wall))
+            self._write(pool, name, Rental(name, zone, pool.spot, part, ctx.wall))
 
     def send(self, lists_read: int) -> None:
         """Send what is recorded and not answered; a name gets the same answer again."""
         ctx = self.ctx
         for key, record in list(ctx.view.pools.items()):
             pool = pool_of(key)
-            for hire in record.hires:
+            for hire in record.rentals:
                 if hire.machines is None:
                     self._ask(pool, hire)
                 else:
                     self._use_answer(pool, hire, hire.machines, lists_read)
         self.asked &= self.cloud.hires_under_way()
-        self.answered &= {h.name for record in ctx.view.pools.values() for h in record.hires}
+        self.answered &= {h.name for record in ctx.view.pools.values() for h in record.rentals}
 
-    def _ask(self, pool: PoolId, hire: Hire) -> None:
+    def _ask(self, pool: PoolId, hire: Rental) -> None:
         if hire.name in self.asked or hire.name in self.answered:
             return
         body = {
@@ -103,9 +103,9 @@
         if self.cloud.send(Verb.HIRE, body, HireSubject(pool, hire)):
             self.asked.add(hire.name)
 
-    def _use_answer(self, pool: PoolId, hire: Hire, machines: list[str], lists_read: int) -> None:
+    def _use_answer(self, pool: PoolId, hire: Rental, machines: list[str], lists_read: int) -> None:
         """A recorded answer tells a new leader of machines that no list shows yet."""
-        age = self.ctx.wall - hire.at
+        age = self.ctx.wall - hire.requested_at
         if lists_read < LISTS_TO_TRUST and age < ANSWER_KEPT_S:
             for name in machines:
                 self.inventory.add(name, pool, hire.zone, self.ctx.now - age)
@@ -120,13 +120,13 @@
         if status == 200 or refused:
             self.answered.add(hire.name)  # asked no more, while that is being written
         if status == 200:
-            self._take_machines(pool, hire, decode(body, Boxes).machines)
+            self._take_machines(pool, hire, decode(body, MachineNames).machines)
         elif refused:
             log.info("hire %s: refused (%d) in %s %s", hire.name, status, pool, hire.zone)
             self._block(Place(pool.build, hire.zone, pool.spot))
             self._write(pool, hire.name, None)
 
-    def _take_machines(self, pool: PoolId, hire: Hire, machines: list[str]) -> None:
+    def _take_machines(self, pool: PoolId, hire: Rental, machines: list[str]) -> None:
         for name in machines:
             self.inventory.add(name, pool, hire.zone, self.ctx.now)
         log.info(
@@ -147,24 +147,27 @@
         pause = REFUSED_PAUSE_S * min(LONGEST_REFUSED_PAUSES, 1 + times)
         self.blocked[place] = self.ctx.now + pause
 
-    def _write(self, pool: PoolId, name: str, hire: Hire | None) -> None:
+    def _write(self, pool: PoolId, name: str, hire: Rental | None) -> None:
         """Write a request's new state into its pool's record; None removes it."""
         queue = self.ctx.queue
 
-        def change(current: Struct | None) -> Result:
+        def change(current: Struct | None) -> EditResult:
             parts = queue.most_parts() if self.ctx.view.level else 1
-            room = queue.limits.value * parts - RECORD_RESERVE
+            room = queue.limits.value_bytes * parts - RECORD_RESERVE
             record = current if isinstance(current, PoolRecord) else PoolRecord()
-            kept = [h for h in record.hires if h.name != name]
+            kept = [h for h in record.rentals if h.name != name]
             if hire is not None:
                 kept.append(hire)
-            elif len(kept) == len(record.hires):
+            elif len(kept) == len(record.rentals):
                 raise NotApplicableError("not there")
             # Answered rentals are kept for a successor that the cloud's list, which
             # lags, does not tell of them; at hundreds of machines the oldest have to go.
             answered = [h for h in kept if h.machines is not None]
-            while answered and codec.size(codec.dump(PoolRecord(hires=kept))) > room:
+            while (
+                answered
+                and codec.json_size_bytes(codec.encode_record(PoolRecord(rentals=kept))) > room
+            ):
                 kept.remove(answered.pop(0))
-            return msgspec.structs.replace(record, hires=kept)
+            return msgspec.structs.replace(record, rentals=kept)
 
-        queue.propose(Edit(pool_key(str(pool)), change, fence=self.ctx.view.token))
+        queue.propose(Edit(pool_key(str(pool)), change, fencing_token=self.ctx.view.token))
--- a/coursefold/coordination/inventory.py
+++ b/coursefold/coordination/inventory.py
@@ -13,9 +13,9 @@
 from coursefold.coordination.context import DRIFT, Context
 from coursefold.coordination.demand import PoolId
 from coursefold.coordination.stability import Losses
-from coursefold.protocol.wire import Listed
+from coursefold.protocol.wire import ListedMachine
 from coursefold.storage.edits import Edit
-from coursefold.storage.records import DEALT, job_key
+from coursefold.storage.records import ASSIGNED, job_key
 
 log = logging.getLogger(__name__)
 
@@ -90,7 +90,7 @@
         if name not in self.machines and name not in self.returned:
             self.machines[name] = RentedMachine(name, pool.build, zone, pool.spot, hired_at)
 
-    def take_list(self, rows: Iterable[Listed], list_every_s: float) -> None:
+    def take_list(self, rows: Iterable[ListedMachine], list_every_s: float) -> None:
         """Note a whole machine list; what it lacks for long enough is lost."""
         ctx = self.ctx
         lag = ctx.settings.params.cloud.list_lag_s
@@ -98,8 +98,8 @@
             if row.name in self.returned:
                 continue
             if row.name not in self.machines:
-                pool = PoolId(row.build, row.spot)
-                self.add(row.name, pool, row.zone, ctx.now - row.held - lag)
+                pool = PoolId(row.machine_type, row.spot)
+                self.add(row.name, pool, row.zone, ctx.now - row.age_s - lag)
                 log.info("machine %s is listed (%s)", row.name, row.status)
             machine = self.machines[row.name]
             machine.listed_at = ctx.now
@@ -239,7 +239,7 @@
                 # and if it was returned under a former leader, nobody else asks for proof.
                 # Seen in a drawn day of the tests: a gang of two never started.
                 continue
-            placed = [e for _, e in ctx.view.on_machine(name) if e.stage != DEALT]
+            placed = [e for _, e in ctx.view.on_machine(name) if e.stage != ASSIGNED]
             if not placed:
                 continue
             if ctx.owner(name, placed[0].zone) not in current_owners:
@@ -290,10 +290,12 @@
         """Write down that a machine's tasks are proven gone."""
         ctx = self.ctx
         for job, entry in ctx.view.on_machine(machine):
-            if entry.stage == DEALT:
+            if entry.stage == ASSIGNED:
                 continue
             change = jobs.gone(entry.index, machine, entry.attempt)
-            edit = Edit(job_key(job), change, fence=ctx.view.token, tag=f"gone{entry.index}")
+            edit = Edit(
+                job_key(job), change, fencing_token=ctx.view.token, tag=f"gone{entry.index}"
+            )
             ctx.queue.propose(edit)
 
     # Time
@@ -314,7 +316,7 @@
 
     def _boot_s(self, machine: RentedMachine) -> float:
         kind = self.ctx.kind(machine.build)
-        return kind.boot if kind else DEFAULT_BOOT_S
+        return kind.boot_s if kind else DEFAULT_BOOT_S
 
     def _reports(self, machine: RentedMachine) -> bool:
         """True while the machine's owner hears from it."""
--- a/coursefold/coordination/jobs.py
+++ b/coursefold/coordination/jobs.py
@@ -13,9 +13,9 @@
 
 from coursefold.protocol.wire import Job
 from coursefold.storage import records
-from coursefold.storage.cell_records import AwayStage, Guest, GuestStage
-from coursefold.storage.edits import Change, End, NotApplicableError, Result
-from coursefold.storage.records import DEALT, PLACED, STOPPING, Ending, Entry, JobRecord
+from coursefold.storage.cell_records import DelegationStage, Guest, GuestStage
+from coursefold.storage.edits import ArchiveEnding, Change, EditResult, NotApplicableError
+from coursefold.storage.records import ASSIGNED, PLACED, STOPPING, Ending, JobRecord, TaskEntry
 
 
 def _job(record: Struct | None) -> JobRecord:
@@ -34,14 +34,14 @@
 def _startable(record: Struct | None) -> JobRecord:
     """A live job that waits for no other: without this, news out of order could start it."""
     job = _live(record)
-    if job.needs:
+    if job.open_prerequisites:
         raise NotApplicableError("waits for other jobs")
     if not job.may_start:
         raise NotApplicableError("another cell's to run, or not granted to us")
     return job
 
 
-def settle(job: JobRecord) -> Result:
+def settle(job: JobRecord) -> EditResult:
     """The record itself, or its ending when nothing of it is left to do.
 
     The ending takes the record's place, which is one change; it moves to where it
@@ -51,19 +51,19 @@
     """
     if job.guest is not None:
         return _settle_guest(job, job.guest)
-    if job.is_away:
+    if job.is_delegated:
         return job
     if job.status == records.CANCELLED and not job.entries:
-        return Ending(records.CANCELLED, job.spec.tasks)
-    if job.status == records.LIVE and job.done_count >= job.spec.tasks:
-        return Ending(records.DONE, job.spec.tasks)
+        return Ending(records.CANCELLED, job.spec.task_count)
+    if job.status == records.LIVE and job.done_count >= job.spec.task_count:
+        return Ending(records.DONE, job.spec.task_count)
     return job
 
 
 def _settle_guest(job: JobRecord, guest: Guest) -> JobRecord:
     if job.entries or guest.stage in (GuestStage.RELEASED, GuestStage.FINISHED):
         return job
-    if job.done_count >= job.spec.tasks:
+    if job.done_count >= job.spec.task_count:
         stage = GuestStage.FINISHED
     elif job.status == records.CANCELLED:
         stage = GuestStage.RELEASED
@@ -75,11 +75,11 @@
 def sweep() -> Change:
     """Move an ending out of the live jobs' keys, so that a starting node need not read it."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         if not isinstance(record, Ending):
             raise NotApplicableError("not ended")
         # When it ended is asked by those that need it, and none does any more.
-        return End(Ending(record.status, record.tasks))
+        return ArchiveEnding(Ending(record.status, record.task_count))
 
     return change
 
@@ -90,12 +90,14 @@
     `needs` are the jobs before it that are not done; `cancelled` if one of them never will be.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         if record is not None:
             raise NotApplicableError("known")
         if cancelled:
-            return Ending(records.CANCELLED, spec.tasks)
-        return JobRecord(msgspec.structs.replace(spec, prereqs=None), at, needs=list(needs))
+            return Ending(records.CANCELLED, spec.task_count)
+        return JobRecord(
+            msgspec.structs.replace(spec, prerequisites=None), at, open_prerequisites=list(needs)
+        )
 
     return change
 
@@ -107,11 +109,11 @@
     what it needed is done was seen before, and never changes again.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _live(record)
-        if not job.needs:
+        if not job.open_prerequisites:
             raise NotApplicableError("waits for nothing")
-        return msgspec.structs.replace(job, needs=[], ready=ready)
+        return msgspec.structs.replace(job, open_prerequisites=[], ready_at=ready)
 
     return change
 
@@ -119,11 +121,11 @@
 def orphan() -> Change:
     """The ending of a job that needs a cancelled one; it has no task, and never had."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _live(record)
-        if not job.needs or job.entries:
+        if not job.open_prerequisites or job.entries:
             raise NotApplicableError("waits for nothing")
-        return Ending(records.CANCELLED, job.spec.tasks)
+        return Ending(records.CANCELLED, job.spec.task_count)
 
     return change
 
@@ -131,15 +133,15 @@
 def cancel() -> Change:
     """From here on nothing of the job starts; what has a place is stopped by its owner."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _live(record)
-        kept = [e for e in job.entries if e.stage != DEALT]
-        away = job.away
-        if away is not None and away.stage == AwayStage.OFFERED:
+        kept = [e for e in job.entries if e.stage != ASSIGNED]
+        away = job.delegation
+        if away is not None and away.stage == DelegationStage.OFFERED:
             # Nobody may start it without a grant, and there will be none.
-            away = msgspec.structs.replace(away, stage=AwayStage.HOME)
+            away = msgspec.structs.replace(away, stage=DelegationStage.HOME)
         return settle(
-            msgspec.structs.replace(job, status=records.CANCELLED, entries=kept, away=away)
+            msgspec.structs.replace(job, status=records.CANCELLED, entries=kept, delegation=away)
         )
 
     return change
@@ -157,11 +159,11 @@
 def deal(tasks: list[Dealt]) -> Change:
     """Hand waiting tasks to owners; those that no longer wait are left out."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _startable(record)
         taken = {e.index for e in job.entries}
         new = [
-            Entry(t.number, DEALT, job.attempt, t.owner, t.zone, t.machine)
+            TaskEntry(t.number, ASSIGNED, job.attempt, t.owner, t.zone, t.machine)
             for t in tasks
             if t.number not in taken and not job.is_done(t.number)
         ]
@@ -175,12 +177,12 @@
 def undeal(index: int, owner: str) -> Change:
     """Hand a task back for which the owner finds no place."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _live(record)
         kept = [
             e
             for e in job.entries
-            if not (e.index == index and e.stage == DEALT and e.owner == owner)
+            if not (e.index == index and e.stage == ASSIGNED and e.owner == owner)
         ]
         if len(kept) == len(job.entries):
             raise NotApplicableError("not dealt")
@@ -205,7 +207,7 @@
     Those that are done, or no longer the owner's to place, are left out.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _startable(record)
         entries = {e.index: e for e in job.entries}
         attempt = job.attempt
@@ -213,10 +215,10 @@
             now = entries.get(task.number)
             if job.is_done(task.number):
                 continue
-            if now is not None and (now.stage != DEALT or now.owner != owner):
+            if now is not None and (now.stage != ASSIGNED or now.owner != owner):
                 continue
             attempt += 1
-            entries[task.number] = Entry(
+            entries[task.number] = TaskEntry(
                 task.number, PLACED, attempt, owner, task.zone, task.machine, task.session
             )
         if attempt == job.attempt:
@@ -233,13 +235,13 @@
     old places forbid starting the same task elsewhere.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _startable(record)
-        if job.entries or len(places) != job.spec.tasks:
+        if job.entries or len(places) != job.spec.task_count:
             raise NotApplicableError("not waiting")
         attempt = job.attempt + 1
         entries = [
-            Entry(i, PLACED, attempt, owner, zone, machine, session)
+            TaskEntry(i, PLACED, attempt, owner, zone, machine, session)
             for i, (owner, zone, machine, session) in enumerate(places)
         ]
         return msgspec.structs.replace(job, attempt=attempt, entries=entries)
@@ -250,7 +252,7 @@
 def stopping(index: int | None, attempt: int) -> Change:
     """Write down that a task (all of a gang: None) is to be stopped, before it is told."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _job(record)
         entries = [
             msgspec.structs.replace(e, stage=STOPPING)
@@ -265,7 +267,7 @@
     return change
 
 
-def _without(job: JobRecord, index: int, machine: str, attempt: int) -> list[Entry]:
+def _without(job: JobRecord, index: int, machine: str, attempt: int) -> list[TaskEntry]:
     kept = [
         e
         for e in job.entries
@@ -279,7 +281,7 @@
 def gone(index: int, machine: str, attempt: int) -> Change:
     """The task's place is proven gone; it waits again, or its cancelled job ends."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _job(record)
         return settle(msgspec.structs.replace(job, entries=_without(job, index, machine, attempt)))
 
@@ -289,18 +291,18 @@
 def finish(index: int, machine: str, attempt: int) -> Change:
     """The task is done. A gang completes together: one done task means all are."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _job(record)
         kept = _without(job, index, machine, attempt)
         if job.status == records.CANCELLED:
             return settle(msgspec.structs.replace(job, entries=kept))
-        if job.spec.shape == "ensemble":
+        if job.spec.kind == "ensemble":
             if job.guest is None:
-                return Ending(records.DONE, job.spec.tasks)
-            whole = [(0, job.spec.tasks - 1)]
-            return settle(msgspec.structs.replace(job, entries=[], done=whole))
-        done = records.add_done(job.done, index)
-        return settle(msgspec.structs.replace(job, entries=kept, done=done, errors=0))
+                return Ending(records.DONE, job.spec.task_count)
+            whole = [(0, job.spec.task_count - 1)]
+            return settle(msgspec.structs.replace(job, entries=[], done_ranges=whole))
+        done = records.add_to_ranges(job.done_ranges, index)
+        return settle(msgspec.structs.replace(job, entries=kept, done_ranges=done, failure_count=0))
 
     return change
 
@@ -312,15 +314,15 @@
     without the pause it would take machine after machine from the others.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _job(record)
-        errors = job.errors + 1
+        errors = job.failure_count + 1
         pause = min(60.0, 0.5 * 2 ** min(errors - 1, 7))
         return settle(
             msgspec.structs.replace(
                 job,
                 entries=_without(job, index, machine, attempt),
-                errors=errors,
+                failure_count=errors,
                 retry_at=wall + pause,
                 # Tried elsewhere next: that tells a faulty machine from a faulty job.
                 failed_on=[*(m for m in job.failed_on if m != machine), machine][-4:],
--- a/coursefold/coordination/leader.py
+++ b/coursefold/coordination/leader.py
@@ -21,7 +21,7 @@
 from coursefold.coordination.waiting import KEEP_S, PAUSE_S, Waiting, WaitingQueue
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
-from coursefold.storage.edits import LATER, Edit
+from coursefold.storage.edits import LOW_PRIORITY, Edit
 from coursefold.storage.records import PLACED, JobRecord, job_key
 
 log = logging.getLogger(__name__)
@@ -46,9 +46,9 @@
 def may_use(spec: Job, place: Place) -> bool:
     """May the job's tasks run on such machines: type, zone, spot or ordinary?"""
     return (
-        (spec.builds is None or place.build in spec.builds)
+        (spec.machine_types is None or place.build in spec.machine_types)
         and (spec.zone is None or spec.zone == place.zone)
-        and (spec.spot or not place.spot)
+        and (spec.may_use_spot or not place.spot)
     )
 
 
@@ -76,8 +76,8 @@
         """As many tasks at once as a record has room for."""
         queue = self.ctx.queue
         if self.ctx.view.level:
-            return max(4, queue.limits.value * queue.most_parts() // PACKED_BYTES)
-        return max(4, int((queue.limits.value - RECORD_BYTES) / ENTRY_BYTES))
+            return max(4, queue.limits.value_bytes * queue.most_parts() // PACKED_BYTES)
+        return max(4, int((queue.limits.value_bytes - RECORD_BYTES) / ENTRY_BYTES))
 
     def queue(self, quota: Quota) -> list[Waiting]:
         """Jobs that could start something now, the most pressing first."""
@@ -128,7 +128,7 @@
         small = [wait for wait in queue if not wait.job.spec.gpus]
         large = [wait for wait in queue if wait.job.spec.gpus]
         for wait in large:
-            if not wait.job.spec.spot:
+            if not wait.job.spec.may_use_spot:
                 short |= not self._serve(wait, rooms, floor, quota)
         most = rooms
         if short:
@@ -136,7 +136,7 @@
             rooms = [r for r in rooms if r.spot or r.kind.name not in needed]
             floor = self._floor(rooms)
         for wait in large:
-            if wait.job.spec.spot:
+            if wait.job.spec.may_use_spot:
                 self._serve(wait, rooms, floor, quota)
         if not small:
             return
@@ -173,7 +173,7 @@
 
     def _serve(self, wait: Waiting, rooms: list[Room], floor: gangs.Floor, quota: Quota) -> bool:
         """Place what can be; False if the job still waits for room."""
-        if wait.job.spec.shape == "ensemble" and wait.job.spec.tasks > 1:
+        if wait.job.spec.kind == "ensemble" and wait.job.spec.task_count > 1:
             self._gang(wait, floor, quota)
         else:
             self._tasks(wait, rooms, quota)
@@ -182,7 +182,7 @@
     def _why_no_room(self, job: JobRecord) -> str:
         """In a user's words: machines are booting, the cloud is empty, or all are busy."""
         spec = job.spec
-        kind = (tuple(spec.builds or ()), spec.zone, spec.spot)
+        kind = (tuple(spec.machine_types or ()), spec.zone, spec.may_use_spot)
         found = self.why.get(kind)
         if found is None:
             found = self.why[kind] = self._look_why(spec)
@@ -219,14 +219,14 @@
         ctx = self.ctx
         roster = ctx.view.roster
         for owner, dealt in ctx.view.dealt.items():
-            if roster is not None and roster.member(owner) is not None:
+            if roster is not None and roster.find_member(owner) is not None:
                 continue
             for (name, index), _ in dealt.items():
                 ctx.queue.propose(
                     Edit(
                         job_key(name),
                         jobs.undeal(index, owner),
-                        fence=ctx.view.token,
+                        fencing_token=ctx.view.token,
                         tag=f"undeal{index}",
                     )
                 )
@@ -239,15 +239,23 @@
         ctx = self.ctx
         for name in islice(ctx.view.needs.doomed, ORPHANS):
             ctx.queue.propose(
-                Edit(job_key(name), jobs.orphan(), rank=LATER, fence=ctx.view.token, tag="orphan")
+                Edit(
+                    job_key(name),
+                    jobs.orphan(),
+                    priority=LOW_PRIORITY,
+                    fencing_token=ctx.view.token,
+                    tag="orphan",
+                )
             )
 
     def _release(self, name: JobId, job: JobRecord) -> None:
         """What the job needs is done: let its tasks be dealt, in the same transaction."""
         ctx = self.ctx
-        if job.needs:
+        if job.open_prerequisites:
             change = jobs.release(ctx.view.since(name, job))
-            ctx.queue.propose(Edit(job_key(name), change, fence=ctx.view.token, tag="release"))
+            ctx.queue.propose(
+                Edit(job_key(name), change, fencing_token=ctx.view.token, tag="release")
+            )
 
     def _zones(self, job: JobRecord) -> dict[str, int]:
         zones: dict[str, int] = {}
@@ -259,7 +267,7 @@
         """Deal a job's waiting tasks one by one while room, limit and record allow."""
         spec = wait.job.spec
         under_way = self.flying.get(wait.name, set())
-        if under_way and (spec.apart or spec.together):
+        if under_way and (spec.spread_zones or spec.same_zone):
             return  # zones of what is under way are not settled yet
         if self._soon(spec):
             self.reasons[wait.name] = self._why_no_room(wait.job)
@@ -278,7 +286,7 @@
         most = self._most_to_deal(job, under_way, refused, len(rooms))
         picker: Picker | None = None
         choices: list[Choice] = []
-        for number in job.waiting(most):
+        for number in job.waiting_indices(most):
             if number in under_way:
                 continue
             if not quota.fits(spec, 1):
@@ -311,7 +319,7 @@
     ) -> None:
         """A task finds no room: nothing that needs as much looks again in this round."""
         job = wait.job
-        if not (refused or job.spec.apart or job.spec.together):
+        if not (refused or job.spec.spread_zones or job.spec.same_zone):
             self.refused.add(job.spec)
         if wait.age <= KEEP_S or not self._pauses():
             self.short.add(wait.name)
@@ -344,7 +352,7 @@
         It stays for long where it starts. Seen: large machines boot first, and at the
         start all replicas took them, for the whole day, from tasks that fit no others.
         """
-        best = self.ctx.market().best(spec) if spec.shape == "standing" else None
+        best = self.ctx.market().best(spec) if spec.kind == "standing" else None
         if best is None or best in self.up:
             return False
         return any(build == best and not spot for build, _, spot in self.booting)
@@ -362,7 +370,9 @@
                 why or "done",
             )  # fmt: skip
 
-        edit = Edit(job_key(name), jobs.deal(deals), fence=ctx.view.token, done=settled)
+        edit = Edit(
+            job_key(name), jobs.deal(deals), fencing_token=ctx.view.token, on_settled=settled
+        )
         ctx.queue.propose(edit)
 
     def _gang(self, wait: Waiting, floor: gangs.Floor, quota: Quota) -> None:
@@ -374,11 +384,11 @@
             return
         if self.ctx.queue.busy(job_key(name)):
             return
-        if not quota.fits(job.spec, job.spec.tasks):
+        if not quota.fits(job.spec, job.spec.task_count):
             self.reasons[name] = quota.why_not(job.spec)
             if self.keeps_quota(wait):
                 # Else its team's small jobs, which fit what is left, would go on for ever.
-                quota.take(job.spec, job.spec.tasks)
+                quota.take(job.spec, job.spec.task_count)
             return
         plan = self._plan_gang(wait, floor)
         if plan is None:
@@ -387,7 +397,7 @@
         for room in plan:
             room.take(job.spec)
             room.draining = True
-        quota.take(job.spec, job.spec.tasks)
+        quota.take(job.spec, job.spec.task_count)
         missing = [r for r in plan if r.owner != self.ctx.me and not r.lent]
         if missing:
             self.reasons[name] = "waiting for machines to be lent"
@@ -399,21 +409,21 @@
     def _plan_gang(self, wait: Waiting, floor: gangs.Floor) -> list[Room] | None:
         """Rooms for the whole gang; None without a look where a smaller one like it had none."""
         spec = wait.job.spec
-        kind = (spec.zone, spec.spot, tuple(spec.builds or ()), spec.together)
-        key = (*kind, spec.cpus, spec.gpus, spec.memory)
+        kind = (spec.zone, spec.may_use_spot, tuple(spec.machine_types or ()), spec.same_zone)
+        key = (*kind, spec.cpus, spec.gpus, spec.memory_gb)
         least_refused = self.gangs_refused.get(key, NEVER_REFUSED)
         plan = None
-        if spec.tasks < least_refused:
+        if spec.task_count < least_refused:
             rooms = floor.holding(spec)
             plan = gangs.fill(spec, rooms, self.ctx.market(), self._slack(wait))
         if plan is None:
-            self.gangs_refused[key] = min(least_refused, spec.tasks)
+            self.gangs_refused[key] = min(least_refused, spec.task_count)
         return plan
 
     def _gang_finds_no_room(self, wait: Waiting, floor: gangs.Floor, quota: Quota) -> None:
         """Gather machines for the gang, or stop lesser work, where that can help."""
         name, job = wait.name, wait.job
-        self.reasons[name] = f"{self._why_no_room(job)} ({job.spec.tasks} tasks at once)"
+        self.reasons[name] = f"{self._why_no_room(job)} ({job.spec.task_count} tasks at once)"
         if self._gathers(wait, floor):
             self.short.add(name)
             self._gather(job.spec, floor)
@@ -421,7 +431,7 @@
         if self.keeps_quota(wait):
             # Seen: machines for it were booting, and what its team's limit had just left
             # free for it went to an array; so it waited again, for seven minutes in all.
-            quota.take(job.spec, job.spec.tasks)
+            quota.take(job.spec, job.spec.task_count)
 
     def _place_gang(self, name: JobId, job: JobRecord, plan: list[Room]) -> None:
         """Write all places of a gang at once."""
@@ -430,7 +440,7 @@
         places = sorted((r.owner, r.zone, r.id, r.session) for r in plan)
 
         def settled(ok: bool, why: str) -> None:
-            for number in range(job.spec.tasks):
+            for number in range(job.spec.task_count):
                 ctx.pending.pop((name, number), None)
             log.info("gang %s on %s: %s", name, ",".join(r.id for r in plan), why or "placed")
 
@@ -440,9 +450,9 @@
         edit = Edit(
             job_key(name),
             jobs.place_gang(places),
-            fence=ctx.view.token,
+            fencing_token=ctx.view.token,
             tag="gang",
-            done=settled,
+            on_settled=settled,
         )
         if not ctx.queue.propose(edit):
             settled(False, "under way")
@@ -464,7 +474,7 @@
     def _may_grow(self, spec: Job) -> bool:
         """Are there machines that the job may use still to come?"""
         catalog = self.ctx.view.catalog
-        kinds = [k for k in catalog.builds if fits_type(spec, k)] if catalog else []
+        kinds = [k for k in catalog.machine_types if fits_type(spec, k)] if catalog else []
         names = {k.name for k in kinds}
         places = {Place(k.name, z, spot) for k in kinds for z in k.zones for spot in (False, True)}
         places -= self.blocked
@@ -486,7 +496,7 @@
                 Edit(
                     job_key(name),
                     jobs.stopping(None, attempt),
-                    fence=self.ctx.view.token,
+                    fencing_token=self.ctx.view.token,
                     tag=f"end{attempt}",
                 )
             )
--- a/coursefold/coordination/lease_renewal.py
+++ b/coursefold/coordination/lease_renewal.py
@@ -74,13 +74,13 @@
         ctx = self.ctx
         peer = ctx.peers.get(owner)
         roster = ctx.view.roster
-        member = roster.member(owner) if roster else None
+        member = roster.find_member(owner) if roster else None
         oldest = summary.oldest(ctx.settings.params.skew_ms)
         return (
             peer is not None
             and member is not None
             and ctx.now - ctx.follow_ok_at > max(NEWS_S, oldest)
             and ctx.now - peer.at < HEARD_S
-            and peer.permit != member.permit
+            and peer.permit != member.lease_id
             and self.may_renew()
         )
--- a/coursefold/coordination/ordering.py
+++ b/coursefold/coordination/ordering.py
@@ -12,7 +12,7 @@
 
 from typing import NamedTuple
 
-from coursefold.protocol.wire import RANKS, Job
+from coursefold.protocol.wire import PRIORITY_ORDER, Job
 from coursefold.settings import Objective
 
 LONG_S = 180.0  # a large job has to start within 4 minutes, and gathering room takes one
@@ -50,8 +50,8 @@
 
     def latest_starts(self, spec: Job, run: float, within: bool, due: float | None) -> list[float]:
         """Seconds after it might start by which the job must start for each of its aims."""
-        starts = list(self.waits.get(spec.lane, []))
-        starts += [within_s - run for within_s in self.finishes.get(spec.lane, [])]
+        starts = list(self.waits.get(spec.job_class, []))
+        starts += [within_s - run for within_s in self.finishes.get(spec.job_class, [])]
         if due is not None:
             starts.append(due - run)
         if within:
@@ -76,16 +76,16 @@
         has to be over for them, in seconds from the moment from which `age` counts.
         """
         if rank is None:
-            rank = RANKS[spec.rank]
+            rank = PRIORITY_ORDER[spec.priority]
         group = 0 if rank == 0 else 1 if within else 2
         if age > STARVED_S:
             group = min(group, 1)
         starts = self.latest_starts(spec, run, within, due)
         ahead = [s - age for s in starts if s > age]
-        if first or (spec.shape == "ensemble" and age > STARVED_S):
+        if first or (spec.kind == "ensemble" and age > STARVED_S):
             return Order(min(group, 1), rank, False, 0, 0.0, -age, name)
         late = bool(starts) and not ahead
-        size = spec.tasks if spec.shape == "ensemble" else 0
-        if spec.shape == "array" and age <= LONG_S:
+        size = spec.task_count if spec.kind == "ensemble" else 0
+        if spec.kind == "array" and age <= LONG_S:
             size = waiting  # all its tasks have to end in time: the nearly done come first
         return Order(group, rank, late, size, ahead[0] if ahead else 0.0, -age, name)
--- a/coursefold/coordination/owner.py
+++ b/coursefold/coordination/owner.py
@@ -14,9 +14,9 @@
 from coursefold.coordination.lease_renewal import LeaseRenewal
 from coursefold.coordination.placing import Placing
 from coursefold.coordination.steps import Forward, Steps
-from coursefold.protocol.ids import parse_task
-from coursefold.protocol.wire import Order, Report
-from coursefold.storage.records import DEALT
+from coursefold.protocol.ids import parse_task_id
+from coursefold.protocol.wire import Command, Report
+from coursefold.storage.records import ASSIGNED
 
 log = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
                 self._refuse(ticket)
             return
         machine = self._machine(report)
-        if machine is None or (report.session, report.counter) <= (
+        if machine is None or (report.session, report.sequence) <= (
             machine.session,
             machine.counter,
         ):
@@ -100,7 +100,7 @@
             return self.renewal.may_renew_released()
         return not self.ctx.active() and self.renewal.may_renew()
 
-    def _accept(self, machine: Machine, ticket: int, orders: list[Order]) -> None:
+    def _accept(self, machine: Machine, ticket: int, orders: list[Command]) -> None:
         """Answer a machine's report under its fencing token, which renews its lease."""
         ctx = self.ctx
         machine.answered = ctx.now
@@ -115,9 +115,9 @@
         ctx = self.ctx
         machine = ctx.machines.get(report.machine)
         if machine is None:
-            if (report.session, report.counter) <= self.departed.get(report.machine, (-1, -1)):
+            if (report.session, report.sequence) <= self.departed.get(report.machine, (-1, -1)):
                 return None
-            machine = Machine(report.machine, report.build, report.zone, report.spot)
+            machine = Machine(report.machine, report.machine_type, report.zone, report.spot)
             machine.idle_since = ctx.now
             ctx.machines[report.machine] = machine
             log.info(
@@ -141,7 +141,7 @@
         """Renew a lease and command nothing but the end of cancelled tasks."""
         ctx = self.ctx
         machine = self._machine(report)
-        if machine is None or (report.session, report.counter) <= (
+        if machine is None or (report.session, report.sequence) <= (
             machine.session,
             machine.counter,
         ):
@@ -150,10 +150,10 @@
         self._take(machine, report)
         orders = []
         for item in report.tasks:
-            task = parse_task(item.task)
+            task = parse_task_id(item.task)
             off = task is not None and cancellations.is_off(ctx, task.job)
             if off and item.state != "exited":
-                orders.append(Order("stop", item.task, item.attempt, 0.0))
+                orders.append(Command("stop", item.task, item.attempt, 0.0))
         self._accept(machine, ticket, orders)
 
     def _take(self, machine: Machine, report: Report) -> None:
@@ -165,17 +165,17 @@
             machine.images.clear() if machine.session == 0 else None
         machine.session, machine.counter, machine.token = (
             report.session,
-            report.counter,
+            report.sequence,
             report.token,
         )
-        machine.heard, machine.addr, machine.lost = ctx.now, report.addr, False
-        if report.recall is not None and machine.recall_at is None:
-            log.info("machine %s will be taken in %.1f s", machine.id, report.recall)
+        machine.heard, machine.addr, machine.lost = ctx.now, report.address, False
+        if report.recall_in_s is not None and machine.recall_at is None:
+            log.info("machine %s will be taken in %.1f s", machine.id, report.recall_in_s)
             ctx.tell = True
-        machine.recall_at = None if report.recall is None else ctx.now + report.recall
+        machine.recall_at = None if report.recall_in_s is None else ctx.now + report.recall_in_s
         machine.tasks = {}
         for item in report.tasks:
-            task = parse_task(item.task)
+            task = parse_task_id(item.task)
             if task is None:
                 log.error("machine %s lists %r, which is no task", machine.id, item.task)
                 continue
@@ -265,5 +265,5 @@
         if machine.token != ctx.token_of(machine.id):
             return
         for job_id, entry in ctx.view.on_machine(machine.id):
-            if entry.stage != DEALT:
+            if entry.stage != ASSIGNED:
                 self.commands.gone(job_id, entry, machine)
--- a/coursefold/coordination/ownership.py
+++ b/coursefold/coordination/ownership.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from coursefold.protocol.ids import Moment, WallTime
+from coursefold.protocol.ids import MonotonicTime, WallTime
 from coursefold.storage.records import ownership_key
 from coursefold.storage.share_records import MachineOwnership, MoveStage
 from coursefold.storage.view import View
@@ -18,7 +18,7 @@
 
     token: int
     revision: int
-    seen_at: Moment
+    seen_at: MonotonicTime
 
 
 class Release(NamedTuple):
@@ -38,7 +38,7 @@
         self._incarnations: dict[str, int] = {}
         self._incarnations_at = -1
 
-    def observe(self, now: Moment) -> list[str]:
+    def observe(self, now: MonotonicTime) -> list[str]:
         """Note records that have changed; the machines of which the token has."""
         if not self.view.ownership_changed:
             return []
@@ -70,7 +70,7 @@
     def _incarnation(self, member: str) -> int | None:
         if self._incarnations_at != self.view.token:
             roster = self.view.roster
-            self._incarnations = {m.name: m.permit for m in roster.members} if roster else {}
+            self._incarnations = {m.name: m.lease_id for m in roster.members} if roster else {}
             self._incarnations_at = self.view.token
         return self._incarnations.get(member)
 
@@ -79,10 +79,10 @@
         record = self.view.ownership.get(machine)
         return self.view.token if record is None else max(self.view.token, record.token)
 
-    def seen_at(self, machine: str) -> Moment:
+    def seen_at(self, machine: str) -> MonotonicTime:
         """When this process first saw the machine's last handover; long ago if there was none."""
         handover = self.handovers.get(machine)
-        return handover.seen_at if handover else Moment(float("-inf"))
+        return handover.seen_at if handover else MonotonicTime(float("-inf"))
 
     def is_behind(self, machine: str) -> bool:
         """Is our view older than the machine's handover?
@@ -100,7 +100,9 @@
         machine could stay unused where no leader has a file of shares any more.
         """
         record = self.view.ownership.get(machine)
-        return record is not None and record.stage == MoveStage.DRAINING and wall < record.until
+        return (
+            record is not None and record.stage == MoveStage.DRAINING and wall < record.expires_at
+        )
 
     def move(self, machine: str) -> MachineOwnership | None:
         """The machine's record while a move is under way."""
--- a/coursefold/coordination/placement.py
+++ b/coursefold/coordination/placement.py
@@ -63,7 +63,7 @@
         self.owner, self.session = owner, session
         self.cpus = kind.cpus - load.cpus
         self.gpus = kind.gpus - load.gpus
-        self.memory = kind.memory - load.memory
+        self.memory = kind.memory_gb - load.memory
         self.images = images
         self.fetching = load.images  # shared until something is taken
         self.tasks = len(load.specs)
@@ -79,7 +79,7 @@
         return (
             spec.cpus <= self.cpus + SLACK
             and spec.gpus <= self.gpus + SLACK
-            and spec.memory <= self.memory + SLACK
+            and spec.memory_gb <= self.memory + SLACK
         )
 
     def places(self, spec: Job) -> int:
@@ -88,7 +88,7 @@
         amounts = (
             (kind.cpus - cpus, spec.cpus),
             (kind.gpus - gpus, spec.gpus),
-            (kind.memory - memory, spec.memory),
+            (kind.memory_gb - memory, spec.memory_gb),
         )
         return int(min(((free + SLACK) / one for free, one in amounts if one), default=0.0))
 
@@ -96,7 +96,7 @@
         """Count a task as placed here."""
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
-        self.memory -= spec.memory
+        self.memory -= spec.memory_gb
         self.tasks += 1
         if spec.image not in self.images:
             self.fetching = {**self.fetching, spec.image: spec.image_gb}
@@ -105,7 +105,7 @@
         """Count a task as gone from here."""
         self.cpus += spec.cpus
         self.gpus += spec.gpus
-        self.memory += spec.memory
+        self.memory += spec.memory_gb
         self.tasks -= 1
 
     @property
@@ -115,30 +115,30 @@
         most = self.cpus / kind.cpus if kind.cpus else 0.0
         if kind.gpus and self.gpus / kind.gpus > most:
             most = self.gpus / kind.gpus
-        if kind.memory and self.memory / kind.memory > most:
-            most = self.memory / kind.memory
+        if kind.memory_gb and self.memory / kind.memory_gb > most:
+            most = self.memory / kind.memory_gb
         return most
 
 
 def fits_type(spec: Job, kind: MachineType) -> bool:
     """True if an empty machine of this type holds a task and the job allows it."""
-    if spec.builds is not None and kind.name not in spec.builds:
+    if spec.machine_types is not None and kind.name not in spec.machine_types:
         return False
     if spec.zone is not None and spec.zone not in kind.zones:
         return False
     return (
         spec.cpus <= kind.cpus + SLACK
         and spec.gpus <= kind.gpus + SLACK
-        and spec.memory <= kind.memory + SLACK
+        and spec.memory_gb <= kind.memory_gb + SLACK
     )
 
 
 def allowed(spec: Job, room: Room) -> bool:
     """What the job says of types, zones and spot machines; workers do not check it."""
     return (
-        (spec.builds is None or room.kind.name in spec.builds)
+        (spec.machine_types is None or room.kind.name in spec.machine_types)
         and (spec.zone is None or spec.zone == room.zone)
-        and (spec.spot or not room.spot)
+        and (spec.may_use_spot or not room.spot)
     )
 
 
@@ -147,7 +147,7 @@
     largest = max(
         spec.cpus / kind.cpus if kind.cpus else 0.0,
         spec.gpus / kind.gpus if kind.gpus else 0.0,
-        spec.memory / kind.memory if kind.memory else 0.0,
+        spec.memory_gb / kind.memory_gb if kind.memory_gb else 0.0,
         1e-3,
     )
     return 1.0 / max(1, int(1.0 / largest + SLACK))
@@ -157,10 +157,10 @@
     """How many tasks of a job fit into what is free, after one of another."""
     cpus, gpus, memory = room.cpus, room.gpus, room.memory
     if beside is not None:
-        cpus, gpus, memory = cpus - beside.cpus, gpus - beside.gpus, memory - beside.memory
+        cpus, gpus, memory = cpus - beside.cpus, gpus - beside.gpus, memory - beside.memory_gb
     ratios = [
         free / taken
-        for free, taken in ((cpus, spec.cpus), (gpus, spec.gpus), (memory, spec.memory))
+        for free, taken in ((cpus, spec.cpus), (gpus, spec.gpus), (memory, spec.memory_gb))
         if taken
     ]
     return max(0, int(min(ratios, default=0.0) + SLACK))
@@ -184,21 +184,23 @@
         self._fences: dict[tuple[object, ...], bool] = {}
         kinds = list(kinds)
         for spec in specs:
-            prices = {k.name: k.price * share(spec, k) for k in kinds if fits_type(spec, k)}
+            prices = {
+                k.name: k.price_per_hour * share(spec, k) for k in kinds if fits_type(spec, k)
+            }
             if not prices:
                 continue
-            cheapest = self.cheapest[spec.lane] = min(prices, key=prices.__getitem__)
-            if not spec.spot:
+            cheapest = self.cheapest[spec.job_class] = min(prices, key=prices.__getitem__)
+            if not spec.may_use_spot:
                 self.needed.add(cheapest)
             others = [price for name, price in prices.items() if name != cheapest]
             if others:
                 kind = next(k for k in kinds if k.name == cheapest)
                 saving = (min(others) - prices[cheapest]) / share(spec, kind)
-                self.savings.setdefault(cheapest, {})[spec.lane] = saving
+                self.savings.setdefault(cheapest, {})[spec.job_class] = saving
 
     def best(self, spec: Job) -> str | None:
         """The type that a class belongs on, if it would displace others elsewhere."""
-        cheapest = self.cheapest.get(spec.lane)
+        cheapest = self.cheapest.get(spec.job_class)
         return cheapest if any(kind != cheapest for kind in self.savings) else None
 
     def fences(self, spec: Job, room: Room) -> bool:
@@ -210,7 +212,7 @@
         if room.gpus <= SLACK or not self.accelerated:
             return False
         free = (round(room.cpus, 3), round(room.gpus, 3), round(room.memory, 3))
-        key = (spec.cpus, spec.memory, room.kind.name, room.spot, room.zone, *free)
+        key = (spec.cpus, spec.memory_gb, room.kind.name, room.spot, room.zone, *free)
         found = self._fences.get(key)
         if found is None:
             found = self._fences[key] = any(
@@ -225,7 +227,7 @@
         worth = self.savings.get(kind.name)
         if not worth:
             return 0.0
-        most = max((s for lane, s in worth.items() if lane != spec.lane), default=0.0)
+        most = max((s for lane, s in worth.items() if lane != spec.job_class), default=0.0)
         return share(spec, kind) * most
 
 
@@ -237,14 +239,14 @@
 
     What this fetch takes from the others is counted too: they belong to tasks that wait.
     """
-    if spec.image in room.images or not room.kind.fetch:
+    if spec.image in room.images or not room.kind.fetch_gb_per_s:
         return 0.0
     others = 0.0
     for image, gb in room.fetching.items():
         if image != spec.image and image not in room.images:
             others += gb
     shared = spec.image_gb if others else 0.0
-    return (spec.image_gb + others + shared) / room.kind.fetch
+    return (spec.image_gb + others + shared) / room.kind.fetch_gb_per_s
 
 
 class Weigher:
@@ -267,18 +269,18 @@
 
     def __init__(self, spec: Job, market: Market = NO_MARKET, slack: float = inf) -> None:
         self.spec, self.market, self.slack = spec, market, slack
-        self.alone = ALONE if spec.shape == "standing" else 0.0
+        self.alone = ALONE if spec.kind == "standing" else 0.0
         self.bases: dict[tuple[str, bool], float] = {}
 
     def _base(self, kind: MachineType, spot: bool) -> float:
         spec, market = self.spec, self.market
         part = share(spec, kind)
         wasteful = 0.0
-        if spec.spot and not spot:
+        if spec.may_use_spot and not spot:
             wasteful = WASTEFUL if kind.name in market.needed else UNUSUAL
-        hourly = (kind.spot_price if spot else kind.price) * part
+        hourly = (kind.spot_price_per_hour if spot else kind.price_per_hour) * part
         hourly += market.displaced(spec, kind)
-        pinned = 40.0 * (1.0 - part) if spec.shape == "standing" else 0.0
+        pinned = 40.0 * (1.0 - part) if spec.kind == "standing" else 0.0
         return wasteful + 5.0 * hourly + pinned
 
     def __call__(self, room: Room) -> tuple[float, float, str]:
@@ -314,7 +316,7 @@
 
 def zone_limit(spec: Job) -> int | None:
     """`Apart`: the most tasks in one zone, or None."""
-    return (spec.tasks + 1) // 2 if spec.apart else None
+    return (spec.task_count + 1) // 2 if spec.spread_zones else None
 
 
 class Picker:
@@ -337,8 +339,8 @@
         self.spec, self.weigh = spec, Weigher(spec, market, slack)
         self.zones = zones if zones is not None else {}
         self.limit = zone_limit(spec)
-        builds, site, spot = spec.builds, spec.zone or zone, spec.spot
-        cpus, gpus, memory = spec.cpus - SLACK, spec.gpus - SLACK, spec.memory - SLACK
+        builds, site, spot = spec.machine_types, spec.zone or zone, spec.may_use_spot
+        cpus, gpus, memory = spec.cpus - SLACK, spec.gpus - SLACK, spec.memory_gb - SLACK
         self.heap = [
             ((room.id in avoid, *self.weigh(room)), room)
             for room in rooms
@@ -359,7 +361,7 @@
         zones, spec = self.zones, self.spec
         while self.heap:
             room = self.heap[0][1]
-            if (zones and spec.together and room.zone not in zones) or (
+            if (zones and spec.same_zone and room.zone not in zones) or (
                 self.limit is not None and zones.get(room.zone, 0) >= self.limit
             ):
                 heappop(self.heap)  # for good: a zone's count only grows
@@ -405,16 +407,21 @@
 
     @staticmethod
     def _kind(spec: Job, zone: str) -> tuple[object, ...]:
-        return (tuple(spec.builds) if spec.builds is not None else None, spec.zone, spec.spot, zone)
+        return (
+            tuple(spec.machine_types) if spec.machine_types is not None else None,
+            spec.zone,
+            spec.may_use_spot,
+            zone,
+        )
 
     def add(self, spec: Job, zone: str = "") -> None:
         """Nothing that needs as much as this finds room now."""
         found = self.seen.setdefault(self._kind(spec, zone), [])
-        found.append((spec.cpus, spec.gpus, spec.memory))
+        found.append((spec.cpus, spec.gpus, spec.memory_gb))
 
     def covers(self, spec: Job, zone: str = "") -> bool:
         """True if something no larger, with the same choice of machines, found nothing."""
         return any(
-            cpus <= spec.cpus and gpus <= spec.gpus and memory <= spec.memory
+            cpus <= spec.cpus and gpus <= spec.gpus and memory <= spec.memory_gb
             for cpus, gpus, memory in self.seen.get(self._kind(spec, zone), ())
         )
--- a/coursefold/coordination/placing.py
+++ b/coursefold/coordination/placing.py
@@ -9,8 +9,8 @@
 from coursefold.coordination.steps import Steps
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
-from coursefold.storage.edits import LATER, SOON
-from coursefold.storage.records import LIVE, Entry, JobRecord
+from coursefold.storage.edits import LOW_PRIORITY, NORMAL_PRIORITY
+from coursefold.storage.records import LIVE, JobRecord, TaskEntry
 
 log = logging.getLogger(__name__)
 
@@ -67,7 +67,7 @@
                 continue
             since = self.dealt_since.setdefault((name, entry.index), ctx.now)
             if ctx.now - since > SEARCH_S:
-                self.steps.propose(name, "undeal", entry, f"undeal{entry.index}", rank=LATER)
+                self.steps.propose(name, "undeal", entry, f"undeal{entry.index}", rank=LOW_PRIORITY)
         for name, tasks in found.items():
             self.propose_place(name, ctx.view.jobs[name], tasks)
 
@@ -82,7 +82,7 @@
         return found
 
     @staticmethod
-    def _fits(room: Room, entry: Entry, extra: Iterable[Job]) -> bool:
+    def _fits(room: Room, entry: TaskEntry, extra: Iterable[Job]) -> bool:
         """Does the hint, whose room counts the task already, still hold?"""
         for spec in extra:
             room.take(spec)
@@ -108,4 +108,4 @@
                 log.debug("place %s on %s: %s", name, where, why)
 
         step = jobs.Step("place", tuple(tasks), ctx.me)
-        self.steps.write(name, step, "", SOON, settled)
+        self.steps.write(name, step, "", NORMAL_PRIORITY, settled)
--- a/coursefold/coordination/pools.py
+++ b/coursefold/coordination/pools.py
@@ -82,7 +82,7 @@
         for name, record in self.ctx.view.pools.items():
             demand = planner.pools.get(pool_of(name))
             if demand is not None:
-                demand.machines += sum(h.count for h in record.hires if h.machines is None)
+                demand.machines += sum(h.count for h in record.rentals if h.machines is None)
 
     def _count_arrivals(self, planner: Planner) -> None:
         """Arrivals of the window; a job arrives when it may start."""
@@ -98,7 +98,7 @@
             if ctx.wall - at > window:
                 del self.arrivals[seen]
             else:
-                planner.arrived(spec, min(spec.tasks, COUNTED_TASKS))
+                planner.arrived(spec, min(spec.task_count, COUNTED_TASKS))
 
     def _needs(self) -> list[Need]:
         """Tasks that wait, in queue order and within their teams' limits."""
@@ -124,7 +124,7 @@
         if self.leader.keeps_quota(wait):
             return count
         while count > 0 and not quota.fits(spec, count):
-            count = count - 1 if spec.shape == "array" else 0
+            count = count - 1 if spec.kind == "array" else 0
         return count
 
     def _count_running(self, planner: Planner) -> None:
--- a/coursefold/coordination/preemption.py
+++ b/coursefold/coordination/preemption.py
@@ -14,7 +14,7 @@
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 from coursefold.storage.edits import Edit
-from coursefold.storage.records import LIVE, PLACED, STOPPING, Entry, JobRecord, job_key
+from coursefold.storage.records import LIVE, PLACED, STOPPING, JobRecord, TaskEntry, job_key
 
 log = logging.getLogger(__name__)
 
@@ -40,7 +40,7 @@
 
     def patience(self, spec: Job) -> float:
         """Replicas wait for nothing; other work gives machines a while to free up."""
-        return 0.0 if spec.shape == "standing" else 8.0
+        return 0.0 if spec.kind == "standing" else 8.0
 
     def may(
         self,
@@ -68,7 +68,7 @@
             and age > GUARANTEE_S
             and victim.spec.team != spec.team
             # The rule would allow it, but a replica's users notice every second.
-            and victim.spec.shape != "standing"
+            and victim.spec.kind != "standing"
             and not quota.within_guarantee(victim.spec, 0)
             and bool(quota.teams[victim.spec.team].gpus or quota.teams[victim.spec.team].cpus)
         )
@@ -94,7 +94,7 @@
         within: bool,
         quota: Quota | None,
         age: float,
-    ) -> list[tuple[JobId, Entry]] | None:
+    ) -> list[tuple[JobId, TaskEntry]] | None:
         """The fewest and cheapest tasks to stop on a machine, or None if that is not enough."""
         ctx = self.ctx
         on = [
@@ -109,11 +109,17 @@
             for name, e, job in on
             if e.stage == PLACED
             and job.status == LIVE
-            and (job.spec.shape != "ensemble" or job.spec.tasks == 1)
+            and (job.spec.kind != "ensemble" or job.spec.task_count == 1)
             and self.may(spec, rank, within, name, job, quota, age)
         ]
-        able.sort(key=lambda v: (v[2].spec.checkpoint <= 0, -self.rank(v[0], v[2]), -v[2].at))
-        chosen: list[tuple[JobId, Entry]] = []
+        able.sort(
+            key=lambda v: (
+                v[2].spec.checkpoint_interval_s <= 0,
+                -self.rank(v[0], v[2]),
+                -v[2].accepted_at,
+            )
+        )
+        chosen: list[tuple[JobId, TaskEntry]] = []
         for name, e, job in able:
             if room.holds(spec):
                 break
@@ -137,7 +143,7 @@
         """Make room for one task, if stopping others can."""
         if not self._ready(name, job, index, age):
             return
-        best: list[tuple[JobId, Entry]] | None = None
+        best: list[tuple[JobId, TaskEntry]] | None = None
         least = 0.0
         rank = self.rank(name, job)
         owed = within and quota is not None and age > GUARANTEE_S
@@ -170,25 +176,25 @@
         ]
         if not any(self._lowest(r) > rank for r in rooms):
             return
-        zones = sorted({r.zone for r in rooms}) if job.spec.together else [""]
+        zones = sorted({r.zone for r in rooms}) if job.spec.same_zone else [""]
         for zone in zones:
-            chosen: list[tuple[JobId, Entry]] = []
+            chosen: list[tuple[JobId, TaskEntry]] = []
             places = 0
             for room in sorted(rooms, key=lambda r: -r.left):
                 if zone and room.zone != zone:
                     continue
                 if room.holds(job.spec):
                     places += 1
-                elif places < job.spec.tasks:
+                elif places < job.spec.task_count:
                     found = self.victims(room, job.spec, rank, within, None, age)
                     if found is not None:
                         chosen.extend(found)
                         places += 1
-            if places >= job.spec.tasks and chosen:
+            if places >= job.spec.task_count and chosen:
                 self._stop(name, 0, chosen)
                 return
 
-    def _stop(self, name: JobId, index: int, victims: list[tuple[JobId, Entry]]) -> None:
+    def _stop(self, name: JobId, index: int, victims: list[tuple[JobId, TaskEntry]]) -> None:
         ctx = self.ctx
         self.plans[(name, index)] = ctx.now + AGAIN_S
         for victim, entry in victims:
@@ -197,7 +203,7 @@
                 Edit(
                     job_key(victim),
                     jobs.stopping(entry.index, entry.attempt),
-                    fence=ctx.view.token,
+                    fencing_token=ctx.view.token,
                     tag=f"stop{entry.index}",
                 )
             )
--- a/coursefold/coordination/requests.py
+++ b/coursefold/coordination/requests.py
@@ -21,8 +21,8 @@
 from coursefold.protocol.ids import JobId, is_job_id
 from coursefold.protocol.wire import Job, MalformedError, decode_job
 from coursefold.storage import records
-from coursefold.storage.cell_records import AwayStage
-from coursefold.storage.edits import FIRST, Edit
+from coursefold.storage.cell_records import DelegationStage
+from coursefold.storage.edits import HIGH_PRIORITY, Edit
 from coursefold.storage.records import Ending, JobRecord, job_key
 
 log = logging.getLogger(__name__)
@@ -107,7 +107,7 @@
         if len(self.asking) > ASKING:
             self._later(ticket, "too many requests", 2)
             return
-        if spec.prereqs and self.view.level < records.OURS:
+        if spec.prerequisites and self.view.level < records.BASE_LEVEL:
             # An older version would take the job and lose what it needs.
             self._later(ticket, "not every controller knows prerequisites yet", 2)
             return
@@ -125,7 +125,7 @@
         live ones, nor among the ended ones as read after that.
         """
         view = self.view
-        for need in map(JobId, spec.prereqs or ()):
+        for need in map(JobId, spec.prerequisites or ()):
             if view.fate(need) is not None:
                 continue
             if not vouched:
@@ -155,7 +155,8 @@
             if ok:
                 log.info(
                     "accept %s: %d tasks of %s for %s (%g cpus, %g accelerators, %g GB each)",
-                    spec.name, spec.tasks, spec.lane, spec.team, spec.cpus, spec.gpus, spec.memory,
+                    spec.name, spec.task_count, spec.job_class, spec.team, spec.cpus, spec.gpus,
+                    spec.memory_gb,
                 )  # fmt: skip
                 self.ctx.out.append(Answer(ticket, 201, {"NameId": spec.name, "Status": "pending"}))
             elif why == "too large" and self.queue.later and not self.view.level:
@@ -170,18 +171,24 @@
                 self._ask(ticket, Purpose.SUBMIT, spec.name, None)
 
         catalog = self.view.catalog
-        if spec.builds is not None and len(spec.builds) > BUILDS and catalog is not None:
+        if (
+            spec.machine_types is not None
+            and len(spec.machine_types) > BUILDS
+            and catalog is not None
+        ):
             # A record has room for a job's description, not for any number of unknown types.
-            known = [k.name for k in catalog.builds if k.name in spec.builds]
-            spec = msgspec.structs.replace(spec, builds=known)
-        fates = {need: self.view.fate(JobId(need)) for need in spec.prereqs or ()}
+            known = [k.name for k in catalog.machine_types if k.name in spec.machine_types]
+            spec = msgspec.structs.replace(spec, machine_types=known)
+        fates = {need: self.view.fate(JobId(need)) for need in spec.prerequisites or ()}
         change = jobs.accept(
             spec,
             self.ctx.wall,
             [need for need, fate in fates.items() if fate != records.DONE],
             records.CANCELLED in fates.values(),
         )
-        self.queue.propose(Edit(job_key(JobId(spec.name)), change, rank=FIRST, done=settled))
+        self.queue.propose(
+            Edit(job_key(JobId(spec.name)), change, priority=HIGH_PRIORITY, on_settled=settled)
+        )
 
     def _never(self, spec: Job) -> str:
         """Why a job can never run, or nothing."""
@@ -189,10 +196,10 @@
         catalog = self.view.catalog
         if spec.team not in teams:
             return f"unknown team {spec.team!r}"
-        kinds = [k for k in catalog.builds if fits_type(spec, k)] if catalog else []
+        kinds = [k for k in catalog.machine_types if fits_type(spec, k)] if catalog else []
         if not kinds:
             return "a task fits no allowed machine type"
-        if not limit_fits(teams[spec.team], spec, 1 if spec.shape == "array" else spec.tasks):
+        if not limit_fits(teams[spec.team], spec, 1 if spec.kind == "array" else spec.task_count):
             return "needs more than the team's limit"
         return ""
 
@@ -264,7 +271,9 @@
             else:
                 self._ask(ticket, Purpose.OVER, job, None)
 
-        self.queue.propose(Edit(job_key(JobId(job)), jobs.cancel(), rank=FIRST, done=settled))
+        self.queue.propose(
+            Edit(job_key(JobId(job)), jobs.cancel(), priority=HIGH_PRIORITY, on_settled=settled)
+        )
 
     def read_failed(self, ticket: int) -> None:
         """The state service could not be asked."""
@@ -289,13 +298,13 @@
             self._unknown(ticket, what, spec)
             return
         if isinstance(found, JobRecord) and found.guest is not None:
-            self._not_ours(ticket, what, found.guest.home)
+            self._not_ours(ticket, what, found.guest.home_cell)
             return
         if isinstance(found, Ending):
-            done = found.tasks if found.status == records.DONE else 0
+            done = found.task_count if found.status == records.DONE else 0
             body: dict[str, Any] = {
                 "NameId": name,
-                "Status": records.STATUS[found.status],
+                "Status": records.STATUS_NAMES[found.status],
                 "done": done,
                 "running": 0,
             }
@@ -334,13 +343,13 @@
 
     def describe(self, name: str, job: JobRecord) -> dict[str, Any]:
         """A live job's state as its user sees it."""
-        running = sum(1 for e in job.entries if e.stage != records.DEALT)
-        status = records.STATUS[job.status]
+        running = sum(1 for e in job.entries if e.stage != records.ASSIGNED)
+        status = records.STATUS_NAMES[job.status]
         if job.status == records.LIVE and (running or self._runs_elsewhere(job)):
             status = "running"
         if self.view.needs.is_doomed(JobId(name)):
             # It follows from what it needs; its own ending is written when there is time.
-            status = records.STATUS[records.CANCELLED]
+            status = records.STATUS_NAMES[records.CANCELLED]
         body: dict[str, Any] = {
             "NameId": name,
             "Status": status,
@@ -354,7 +363,7 @@
 
     @staticmethod
     def _runs_elsewhere(job: JobRecord) -> bool:
-        return job.away is not None and job.away.stage == AwayStage.RUNNING
+        return job.delegation is not None and job.delegation.stage == DelegationStage.RUNNING
 
     def _undecided(self, name: JobId, found: JobRecord) -> bool:
         """Needs the job one that has ended, and we do not know how?
@@ -373,12 +382,12 @@
             more = f" and {len(left) - NAMED} more" if len(left) > NAMED else ""
             return f"waiting for {', '.join(islice(left, NAMED))}{more} to be done"
         away = self.view.away.get(JobId(name))
-        if away is not None and away.away is not None:
-            return away_reason(away.away, ctx.wall)
+        if away is not None and away.delegation is not None:
+            return away_reason(away.delegation, ctx.wall)
         reason = self._leaders_reason(name)
         job = self.view.jobs.get(JobId(name))
-        if reason and job is not None and job.away is not None:
-            return f"{reason}; {away_reason(job.away, ctx.wall)}"
+        if reason and job is not None and job.delegation is not None:
+            return f"{reason}; {away_reason(job.delegation, ctx.wall)}"
         return reason
 
     def _leaders_reason(self, name: str) -> str:
--- a/coursefold/coordination/steps.py
+++ b/coursefold/coordination/steps.py
@@ -5,8 +5,8 @@
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
 from coursefold.protocol.ids import JobId
-from coursefold.storage.edits import SOON, Edit
-from coursefold.storage.records import Entry, job_key
+from coursefold.storage.edits import NORMAL_PRIORITY, Edit
+from coursefold.storage.records import TaskEntry, job_key
 
 Forward = Callable[[JobId, jobs.Step, Edit], bool]
 
@@ -18,8 +18,8 @@
         self.ctx, self.forward = ctx, forward
 
     def propose(
-        self, job_id: JobId, kind: str, entry: Entry, tag: str, *, machine: str = "",
-        rank: int = SOON,
+        self, job_id: JobId, kind: str, entry: TaskEntry, tag: str, *, machine: str = "",
+        rank: int = NORMAL_PRIORITY,
     ) -> bool:  # fmt: skip
         """Have one task's step written; False if it is under way already."""
         task = jobs.Task(entry.index, entry.attempt, machine=machine)
@@ -30,16 +30,16 @@
         job_id: JobId,
         step: jobs.Step,
         tag: str,
-        rank: int = SOON,
+        rank: int = NORMAL_PRIORITY,
         done: Callable[[bool, str], None] | None = None,
     ) -> bool:
         """Have a step of a job written; False if one with the same tag is under way."""
         edit = Edit(
             job_key(job_id),
             step.change(),
-            rank=rank,
-            fence=self.ctx.view.token,
+            priority=rank,
+            fencing_token=self.ctx.view.token,
             tag=tag,
-            done=done,
+            on_settled=done,
         )
         return self.forward(job_id, step, edit)
--- a/coursefold/coordination/summary.py
+++ b/coursefold/coordination/summary.py
@@ -15,7 +15,7 @@
 from coursefold.coordination import cancellations
 from coursefold.coordination.context import Context, PeerMachine, PeerView
 from coursefold.protocol import peer_pb2
-from coursefold.protocol.ids import JobId, Moment
+from coursefold.protocol.ids import JobId, MonotonicTime
 
 log = logging.getLogger(__name__)
 
@@ -273,7 +273,7 @@
     if body.HasField("cancellations"):
         skew = 2.0 * ctx.settings.params.skew_ms / 1000.0
         late = max(0.0, ctx.wall - envelope.sent_at + skew)
-        cancellations.take(ctx, view, body.cancellations, Moment(ctx.now - late))
+        cancellations.take(ctx, view, body.cancellations, MonotonicTime(ctx.now - late))
     for item in body.machines:
         machine = PeerMachine(
             item.id, item.build, item.zone, item.spot, item.session, ctx.now - item.silent_s
@@ -317,4 +317,4 @@
             continue
         if m.lent_until <= ctx.now:
             ctx.tell = True
-        m.lent_until = Moment(ctx.now + 4.0)
+        m.lent_until = MonotonicTime(ctx.now + 4.0)
--- a/coursefold/coordination/upgrade.py
+++ b/coursefold/coordination/upgrade.py
@@ -19,8 +19,15 @@
 
 from coursefold.coordination.context import Context
 from coursefold.storage import codec, records
-from coursefold.storage.edits import FIRST, LATER, Edit, NotApplicableError, Remove, Result
-from coursefold.storage.records import JobRecord, Level, PoolRecord, Version
+from coursefold.storage.edits import (
+    HIGH_PRIORITY,
+    LOW_PRIORITY,
+    DeleteKey,
+    Edit,
+    EditResult,
+    NotApplicableError,
+)
+from coursefold.storage.records import FormatLevel, JobRecord, MemberVersion, PoolRecord
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +50,7 @@
         self.looked_at = -1e9
         self.said: list[str] | None = None
         self.unmeasured: list[str] | None = None
-        self.wanted_level = records.OURS
+        self.wanted_level = records.BASE_LEVEL
 
     @property
     def level(self) -> int:
@@ -52,7 +59,7 @@
         Those of a subsystem come in only where every controller has its file; from then on
         they are read, and kept, without it too.
         """
-        return max(self.wanted_level, min(self.ctx.view.level, records.NEWEST))
+        return max(self.wanted_level, min(self.ctx.view.level, records.NEWEST_LEVEL))
 
     def want_level(self, level: int) -> None:
         """A subsystem that is switched on needs these forms; said before the first tick."""
@@ -61,17 +68,17 @@
     def announce(self) -> None:
         """Write down what this process can read, in the transaction in which it joins."""
         ctx = self.ctx
-        mine = Version(self.level, ctx.permit)
+        mine = MemberVersion(self.level, ctx.permit)
         if not ctx.permit or ctx.view.versions.get(ctx.me) == mine:
             return
 
-        def change(current: Struct | None) -> Result:
-            if current == mine or mine.permit != ctx.permit:
+        def change(current: Struct | None) -> EditResult:
+            if current == mine or mine.lease_id != ctx.permit:
                 raise NotApplicableError("known")
             return mine
 
         key = records.version_key(ctx.me)
-        ctx.queue.propose(Edit(key, change, rank=FIRST, tag=f"version{ctx.permit}"))
+        ctx.queue.propose(Edit(key, change, priority=HIGH_PRIORITY, tag=f"version{ctx.permit}"))
 
     def speaks(self, member: str) -> bool:
         """Has the member's live process this version? Before the switch it need not."""
@@ -84,7 +91,7 @@
         """The level of a live member's process: 0 for an older version's."""
         live = self.ctx.view.members.get(member)
         known = self.ctx.view.versions.get(member)
-        return known.level if live and known and known.permit == live.permit else 0
+        return known.level if live and known and known.lease_id == live.lease_id else 0
 
     def waits_for(self) -> list[str]:
         """Controllers without this version, as far as is known."""
@@ -136,19 +143,19 @@
         ctx = self.ctx
         for name, known in list(ctx.view.versions.items()):
             live = ctx.view.members.get(name)
-            if live is None or live.permit == known.permit:
+            if live is None or live.lease_id == known.lease_id:
                 self.stale.pop(name, None)
             elif ctx.now - self.stale.setdefault(name, ctx.now) > STALE_S:
                 self._remove(records.version_key(name), known)
                 log.error("controller %s runs an older version again", name)
 
     def _remove(self, key: str, known: Struct) -> None:
-        def change(current: Struct | None) -> Result:
+        def change(current: Struct | None) -> EditResult:
             if current != known:
                 raise NotApplicableError("changed")
-            return Remove()
+            return DeleteKey()
 
-        self.ctx.queue.propose(Edit(key, change, fence=self.ctx.view.token, tag="remove"))
+        self.ctx.queue.propose(Edit(key, change, fencing_token=self.ctx.view.token, tag="remove"))
 
     def _switch(self) -> None:
         ctx = self.ctx
@@ -157,12 +164,18 @@
         if any(ctx.now - self.absent.get(name, ctx.now) < GONE_S for name in waits):
             return
 
-        def change(current: Struct | None) -> Result:
-            if isinstance(current, Level) and current.level >= level:
+        def change(current: Struct | None) -> EditResult:
+            if isinstance(current, FormatLevel) and current.level >= level:
                 raise NotApplicableError("switched")
-            return Level(level, waits)
-
-        edit = Edit(records.LEVEL, change, rank=FIRST, fence=ctx.view.token, tag="switch")
+            return FormatLevel(level, waits)
+
+        edit = Edit(
+            records.FORMAT_LEVEL_KEY,
+            change,
+            priority=HIGH_PRIORITY,
+            fencing_token=ctx.view.token,
+            tag="switch",
+        )
         if ctx.queue.propose(edit):
             away = f" (given up: {', '.join(waits)})" if waits else ""
             log.info("every controller has this version%s: forms %d are written", away, level)
@@ -172,28 +185,35 @@
         ctx = self.ctx
         view = ctx.view
         types = view.catalog
-        if types is not None and records.TYPES not in view.held:
-            self._rewrite(records.TYPES, types)
-        elif (old := view.held.get(records.CATALOG)) is not None:
-            self._remove(records.CATALOG, old.record)
+        if types is not None and records.MACHINE_TYPES_KEY not in view.held:
+            self._rewrite(records.MACHINE_TYPES_KEY, types)
+        elif (old := view.held.get(records.CATALOG_KEY)) is not None:
+            self._remove(records.CATALOG_KEY, old.record)
         if self.unmeasured is None:
-            self.unmeasured = [k for k in view.held if k.startswith((records.JOBS, records.POOLS))]
+            self.unmeasured = [
+                k for k in view.held if k.startswith((records.JOB_PREFIX, records.POOL_PREFIX))
+            ]
         looks, self.unmeasured = self.unmeasured[:LOOKS], self.unmeasured[LOOKS:]
         for key in looks:
             held = view.held.get(key)
             if held is None or not isinstance(held.record, JobRecord | PoolRecord):
                 continue
-            value = codec.dump(held.record, view.level)
-            if key not in view.spread and codec.size(value) > ctx.queue.limits.value:
+            value = codec.encode_record(held.record, view.level)
+            if (
+                key not in view.spread
+                and codec.json_size_bytes(value) > ctx.queue.limits.value_bytes
+            ):
                 self._rewrite(key, None)
 
     def _rewrite(self, key: str, first: Struct | None) -> None:
         """Write a record as it is; how it is laid out is the queue's business."""
 
-        def change(current: Struct | None) -> Result:
+        def change(current: Struct | None) -> EditResult:
             if current is None and first is None:
                 raise NotApplicableError("gone")
             return current or first  # type: ignore[return-value]
 
-        edit = Edit(key, change, rank=LATER, fence=self.ctx.view.token, tag="rewrite")
+        edit = Edit(
+            key, change, priority=LOW_PRIORITY, fencing_token=self.ctx.view.token, tag="rewrite"
+        )
         self.ctx.queue.propose(edit)
--- a/coursefold/coordination/urgency.py
+++ b/coursefold/coordination/urgency.py
@@ -10,12 +10,12 @@
 
 from coursefold.coordination.context import Context
 from coursefold.protocol.ids import JobId
-from coursefold.protocol.wire import RANKS, Job
+from coursefold.protocol.wire import PRIORITY_ORDER, Job
 from coursefold.storage.records import JobRecord
 
 FRESH_S = 10.0  # run times change slowly
 GUEST_PATIENCE_S = 120.0  # then another cell's job has its own priority here
-LEAST_URGENT = max(RANKS.values())
+LEAST_URGENT = max(PRIORITY_ORDER.values())
 
 
 class Urgent(NamedTuple):
@@ -49,12 +49,12 @@
         return self.of(name, job).rank
 
     def _own(self, job: JobRecord) -> Urgent:
-        due = job.spec.due
-        rank = RANKS[job.spec.rank]
-        if job.guest is not None and self.ctx.wall - job.guest.at < GUEST_PATIENCE_S:
+        due = job.spec.deadline_s
+        rank = PRIORITY_ORDER[job.spec.priority]
+        if job.guest is not None and self.ctx.wall - job.guest.stage_started_at < GUEST_PATIENCE_S:
             # A cell's own work goes first, but guests do not starve behind it.
             rank = LEAST_URGENT
-        return Urgent(rank, None if due is None else job.at + due)
+        return Urgent(rank, None if due is None else job.accepted_at + due)
 
     def _along(self, first: JobId) -> Urgent:
         """Depth first without recursion: a chain may be as long as its user likes."""
@@ -85,7 +85,7 @@
     def _takes(self, spec: Job) -> float:
         """From the moment when a job may start until it is known to be over."""
         fetch = 0.0
-        for kind in self.ctx.view.catalog.builds if self.ctx.view.catalog else ():
-            if kind.fetch:
-                fetch = max(fetch, spec.image_gb / kind.fetch)
+        for kind in self.ctx.view.catalog.machine_types if self.ctx.view.catalog else ():
+            if kind.fetch_gb_per_s:
+                fetch = max(fetch, spec.image_gb / kind.fetch_gb_per_s)
         return self.run(spec) + fetch + 2.0 * self.ctx.settings.params.workers.report_s
--- a/coursefold/coordination/waiting.py
+++ b/coursefold/coordination/waiting.py
@@ -34,10 +34,10 @@
     went before an older gang of three.
     """
     gangs_first = sorted(
-        (w for w in found if w.job.spec.shape == "ensemble"), key=lambda w: w.order, reverse=True
+        (w for w in found if w.job.spec.kind == "ensemble"), key=lambda w: w.order, reverse=True
     )
     others = sorted(
-        (w for w in found if w.job.spec.shape != "ensemble"), key=lambda w: w.order, reverse=True
+        (w for w in found if w.job.spec.kind != "ensemble"), key=lambda w: w.order, reverse=True
     )
     queue: list[Waiting] = []
     while gangs_first and others:
@@ -67,7 +67,7 @@
             if ctx.grants.is_over(job, ctx.now, ctx.wall):
                 reasons[name] = "its home cell's grant has ended"
                 continue
-            tasks = job.spec.tasks if job.spec.shape != "array" else 1
+            tasks = job.spec.task_count if job.spec.kind != "array" else 1
             within = quota.within_guarantee(job.spec, tasks)
             run = self.mean_run(job.spec)
             since = ctx.view.since(name, job)
@@ -91,7 +91,7 @@
         waits = [
             (self.ctx.view.since(name, job), name)
             for name, job in self.ctx.view.waiting.items()
-            if job.spec.shape == "ensemble" and job.retry_at <= self.ctx.wall
+            if job.spec.kind == "ensemble" and job.retry_at <= self.ctx.wall
         ]
         at, name = min(waits, default=(self.ctx.wall, None))
         return name if self.ctx.wall - at > LONG_S else None
@@ -108,8 +108,8 @@
             return False
         lasting = [0.0, 0.0]
         for job in self.ctx.view.jobs.values():
-            if job.spec.team == spec.team and job.spec.shape == "standing":
+            if job.spec.team == spec.team and job.spec.kind == "standing":
                 lasting[0] += job.spec.cpus * len(job.entries)
                 lasting[1] += job.spec.gpus * len(job.entries)
         team = next((t for t in self.ctx.settings.params.teams if t.name == spec.team), None)
-        return limit_fits(team, spec, spec.tasks, lasting)
+        return limit_fits(team, spec, spec.task_count, lasting)
--- a/coursefold/protocol/ids.py
+++ b/coursefold/protocol/ids.py
@@ -5,19 +5,19 @@
 
 JobId = NewType("JobId", str)
 MachineId = NewType("MachineId", str)
-Member = NewType("Member", str)
+MemberName = NewType("MemberName", str)
 Zone = NewType("Zone", str)
-Build = NewType("Build", str)
+MachineTypeName = NewType("MachineTypeName", str)
 Key = NewType("Key", str)
 
 Token = NewType("Token", int)  # Stamp of the roster: who may give commands
-Stamp = NewType("Stamp", int)  # revision of a key's last change
-Permit = NewType("Permit", int)  # lease at the state service; a process's incarnation
+KeyVersion = NewType("KeyVersion", int)  # revision of a key's last change
+LeaseId = NewType("LeaseId", int)  # lease at the state service; a process's incarnation
 Session = NewType("Session", int)  # the worker's `Shift`
-Counter = NewType("Counter", int)
+SequenceNumber = NewType("SequenceNumber", int)
 Attempt = NewType("Attempt", int)
 
-Moment = NewType("Moment", float)  # steady clock, seconds
+MonotonicTime = NewType("MonotonicTime", float)  # steady clock, seconds
 WallTime = NewType("WallTime", float)  # time of day, seconds
 
 _JOB_ID = re.compile(r"job-[0-9]{1,32}")
@@ -38,7 +38,7 @@
     return _JOB_ID.fullmatch(text) is not None
 
 
-def parse_task(text: str) -> TaskId | None:
+def parse_task_id(text: str) -> TaskId | None:
     """A task's name as the workers write it, or None if it is none."""
     job, slash, index = text.partition("/")
     if not slash or not is_job_id(job) or not (index.isascii() and index.isdigit()):
--- a/coursefold/protocol/wire.py
+++ b/coursefold/protocol/wire.py
@@ -13,13 +13,13 @@
 
 from coursefold.protocol.ids import is_job_id
 
-BODY_LIMIT = 64 * 1024
-U64 = Annotated[int, Meta(ge=0)]  # MessagePack itself ends below 2**64
-Amount = Annotated[float, Meta(ge=0, le=1e12)]
-Text = Annotated[str, Meta(min_length=1, max_length=180)]
-Rank = Literal["prod", "urgent", "normal", "idle"]
-Shape = Literal["array", "ensemble", "standing"]
-RANKS: dict[str, int] = {"prod": 0, "urgent": 1, "normal": 2, "idle": 3}
+MAX_BODY_BYTES = 64 * 1024
+UInt64 = Annotated[int, Meta(ge=0)]  # MessagePack itself ends below 2**64
+NonNegativeFloat = Annotated[float, Meta(ge=0, le=1e12)]
+ShortText = Annotated[str, Meta(min_length=1, max_length=180)]
+Priority = Literal["prod", "urgent", "normal", "idle"]
+JobKind = Literal["array", "ensemble", "standing"]
+PRIORITY_ORDER: dict[str, int] = {"prod": 0, "urgent": 1, "normal": 2, "idle": 3}
 
 T = TypeVar("T")
 
@@ -31,132 +31,132 @@
 class Job(Struct, frozen=True):
     """POST /work."""
 
-    name: Text = field(name="NameId")
-    lane: Text = field(name="Lane")
-    team: Text = field(name="Owner")
-    shape: Shape = field(name="Shape")
-    rank: Rank = field(name="Rank")
-    tasks: Annotated[int, Meta(ge=1, le=100_000)] = field(name="Pieces")
-    cpus: Amount = field(name="Vcpus")
-    gpus: Amount = field(name="Accelerators")
-    memory: Amount = field(name="MemoryGb")
-    image: Text = field(name="Bundle")
-    image_gb: Amount = field(name="ImageGb")
-    together: bool = field(name="Together")
-    apart: bool = field(name="Apart")
-    spot: bool = field(name="Loaners")
-    estimate: Amount = field(name="ExpectedS")
-    checkpoint: Amount = field(name="SnapshotEveryS")
-    save: Amount = field(name="SnapshotS")
-    builds: list[Text] | None = field(name="Builds", default=None)
-    zone: Text | None = field(name="Site", default=None)
-    due: Amount | None = field(name="DueS", default=None)
-    prereqs: list[str] | None = field(name="Prereqs", default=None)
+    name: ShortText = field(name="NameId")
+    job_class: ShortText = field(name="Lane")
+    team: ShortText = field(name="Owner")
+    kind: JobKind = field(name="Shape")
+    priority: Priority = field(name="Rank")
+    task_count: Annotated[int, Meta(ge=1, le=100_000)] = field(name="Pieces")
+    cpus: NonNegativeFloat = field(name="Vcpus")
+    gpus: NonNegativeFloat = field(name="Accelerators")
+    memory_gb: NonNegativeFloat = field(name="MemoryGb")
+    image: ShortText = field(name="Bundle")
+    image_gb: NonNegativeFloat = field(name="ImageGb")
+    same_zone: bool = field(name="Together")
+    spread_zones: bool = field(name="Apart")
+    may_use_spot: bool = field(name="Loaners")
+    estimated_run_s: NonNegativeFloat = field(name="ExpectedS")
+    checkpoint_interval_s: NonNegativeFloat = field(name="SnapshotEveryS")
+    checkpoint_save_s: NonNegativeFloat = field(name="SnapshotS")
+    machine_types: list[ShortText] | None = field(name="Builds", default=None)
+    zone: ShortText | None = field(name="Site", default=None)
+    deadline_s: NonNegativeFloat | None = field(name="DueS", default=None)
+    prerequisites: list[str] | None = field(name="Prereqs", default=None)
 
 
 class TaskReport(Struct, frozen=True):
     """A task on a machine, as its worker reports it."""
 
     task: str = field(name="Piece")
-    attempt: U64 = field(name="Try")
+    attempt: UInt64 = field(name="Try")
     state: Literal["pulling", "gathering", "running", "flushing", "exited"] = field(name="Status")
     cause: str | None = field(name="Cause", default=None)
-    kept: bool | None = field(name="Kept", default=None)
+    progress_saved: bool | None = field(name="Kept", default=None)
 
 
 class Report(Struct, frozen=True):
     """POST /agent/beat, and the body that a worker returns."""
 
-    machine: Text = field(name="Box")
-    addr: str = field(name="Addr")
-    build: Text = field(name="Build")
-    zone: Text = field(name="Site")
+    machine: ShortText = field(name="Box")
+    address: str = field(name="Addr")
+    machine_type: ShortText = field(name="Build")
+    zone: ShortText = field(name="Site")
     spot: bool = field(name="Loaners")
-    session: U64 = field(name="Shift")
-    counter: U64 = field(name="Counter")
-    token: U64 = field(name="Baton")
+    session: UInt64 = field(name="Shift")
+    sequence: UInt64 = field(name="Counter")
+    token: UInt64 = field(name="Baton")
     tasks: list[TaskReport] = field(name="Pieces")
-    recall: Amount | None = field(name="RecallS", default=None)
+    recall_in_s: NonNegativeFloat | None = field(name="RecallS", default=None)
 
 
-class Order(Struct, frozen=True, omit_defaults=True):
+class Command(Struct, frozen=True, omit_defaults=True):
     """A command to a worker."""
 
     verb: Literal["run", "stop", "forget"] = field(name="Verb")
     task: str = field(name="Piece")
     attempt: int = field(name="Try")
-    grace: float | None = field(name="WindDownS", default=None)
+    grace_s: float | None = field(name="WindDownS", default=None)
 
 
-class Orders(Struct, frozen=True):
+class CommandResponse(Struct, frozen=True):
     """The answer to a report."""
 
     token: int = field(name="Baton")
-    orders: list[Order] = field(name="Orders")
+    commands: list[Command] = field(name="Orders")
 
 
-class DirectOrders(Struct, frozen=True):
+class DirectCommands(Struct, frozen=True):
     """POST /orders."""
 
     token: int = field(name="Baton")
     session: int = field(name="Shift")
-    orders: list[Order] = field(name="Orders")
+    commands: list[Command] = field(name="Orders")
 
 
 class MachineType(Struct, frozen=True):
     """What machines of one kind have and cost."""
 
-    name: Text = field(name="Name")
-    cpus: Amount = field(name="Vcpus")
-    gpus: Amount = field(name="Accelerators")
-    memory: Amount = field(name="MemoryGb")
-    cache_gb: Amount = field(name="CacheGb")
-    fetch: Amount = field(name="FetchGbPerS")
-    price: Amount = field(name="Hourly")
-    spot_price: Amount = field(name="LowPrice")
-    boot: Amount = field(name="BootS")
-    zones: list[Text] = field(name="Sites")
+    name: ShortText = field(name="Name")
+    cpus: NonNegativeFloat = field(name="Vcpus")
+    gpus: NonNegativeFloat = field(name="Accelerators")
+    memory_gb: NonNegativeFloat = field(name="MemoryGb")
+    cache_gb: NonNegativeFloat = field(name="CacheGb")
+    fetch_gb_per_s: NonNegativeFloat = field(name="FetchGbPerS")
+    price_per_hour: NonNegativeFloat = field(name="Hourly")
+    spot_price_per_hour: NonNegativeFloat = field(name="LowPrice")
+    boot_s: NonNegativeFloat = field(name="BootS")
+    zones: list[ShortText] = field(name="Sites")
 
 
 class Catalog(Struct, frozen=True):
     """GET /catalog."""
 
-    builds: list[MachineType] = field(name="Builds")
+    machine_types: list[MachineType] = field(name="Builds")
 
 
-class HireRequest(Struct, frozen=True):
+class RentMachinesRequest(Struct, frozen=True):
     """POST /machines."""
 
-    hire: str = field(name="Hire")
-    build: str = field(name="Build")
+    rental: str = field(name="Hire")
+    machine_type: str = field(name="Build")
     zone: str = field(name="Site")
     spot: bool = field(name="Loaners")
     count: int = field(name="Count")
 
 
-class Boxes(Struct, frozen=True):
+class MachineNames(Struct, frozen=True):
     """Names of machines."""
 
     machines: list[str] = field(name="Boxes")
 
 
-class Listed(Struct, frozen=True):
+class ListedMachine(Struct, frozen=True):
     """A machine in the cloud's list."""
 
-    name: Text = field(name="NameId")
-    addr: str = field(name="Addr")
-    build: Text = field(name="Build")
-    zone: Text = field(name="Site")
+    name: ShortText = field(name="NameId")
+    address: str = field(name="Addr")
+    machine_type: ShortText = field(name="Build")
+    zone: ShortText = field(name="Site")
     spot: bool = field(name="Loaners")
     status: str = field(name="Status")
-    held: Amount = field(name="HeldS", default=0.0)
+    age_s: NonNegativeFloat = field(name="HeldS", default=0.0)
 
 
 class MachineList(Struct, frozen=True):
     """GET /machines."""
 
-    machines: list[Listed] = field(name="Boxes")
-    more: bool = field(name="More", default=False)
+    machines: list[ListedMachine] = field(name="Boxes")
+    has_more: bool = field(name="More", default=False)
 
 
 class KeyRow(Struct, frozen=True):
@@ -164,50 +164,50 @@
 
     key: str = field(name="K")
     value: Any = field(name="Value")
-    stamp: int = field(name="Stamp")
+    version: int = field(name="Stamp")
 
 
 class KeyRows(Struct, frozen=True):
     """A page of keys."""
 
     rows: list[KeyRow] = field(name="Rows")
-    more: bool = field(name="More")
-    ledger: int = field(name="Ledger")
+    has_more: bool = field(name="More")
+    revision: int = field(name="Ledger")
 
 
-class Ledger(Struct, frozen=True):
+class CommitResult(Struct, frozen=True):
     """A revision of the state service."""
 
-    ledger: int = field(name="Ledger")
+    revision: int = field(name="Ledger")
 
 
 class Conflict(Struct, frozen=True):
     """A transaction whose conditions failed, and which."""
 
-    ledger: int = field(name="Ledger")
+    revision: int = field(name="Ledger")
     failed: list[str] = []
 
 
 class Lease(Struct, frozen=True):
     """A lease of the state service."""
 
-    permit: int = field(name="Permit")
+    lease_id: int = field(name="Permit")
 
 
-class NewsItem(Struct, frozen=True):
+class KeyUpdate(Struct, frozen=True):
     """A change of one key."""
 
-    stamp: int = field(name="Stamp")
-    set: str | None = field(name="Set", default=None)
+    version: int = field(name="Stamp")
+    set_key: str | None = field(name="Set", default=None)
     value: Any = field(name="Value", default=None)
-    remove: str | None = field(name="Remove", default=None)
+    removed_key: str | None = field(name="Remove", default=None)
 
 
-class News(Struct, frozen=True):
+class WatchResponse(Struct, frozen=True):
     """GET /follow."""
 
-    ledger: int = field(name="Ledger")
-    news: list[NewsItem] = field(name="News")
+    revision: int = field(name="Ledger")
+    updates: list[KeyUpdate] = field(name="News")
 
 
 def encode(value: object) -> bytes:
@@ -245,23 +245,23 @@
 
 def decode_job(body: bytes) -> Job:
     """A submission, checked beyond its types."""
-    if len(body) > BODY_LIMIT:
+    if len(body) > MAX_BODY_BYTES:
         raise MalformedError("body over 64 KiB")
     job = decode(body, Job)
     _finite(job, JOB_FLOATS)
     if not is_job_id(job.name):
         raise MalformedError("not a job id - at `$.NameId`")
-    if job.prereqs is None:
+    if job.prerequisites is None:
         return job
-    for at, name in enumerate(job.prereqs):
+    for at, name in enumerate(job.prerequisites):
         if not is_job_id(name):
             raise MalformedError(f"not a job id - at `$.Prereqs[{at}]`")
-    return msgspec.structs.replace(job, prereqs=list(dict.fromkeys(job.prereqs)))
+    return msgspec.structs.replace(job, prerequisites=list(dict.fromkeys(job.prerequisites)))
 
 
 def decode_report(body: bytes) -> Report:
     """A worker's report, checked beyond its types."""
-    if len(body) > BODY_LIMIT:
+    if len(body) > MAX_BODY_BYTES:
         raise MalformedError("body over 64 KiB")
     report = decode(body, Report)
     _finite(report, REPORT_FLOATS)
--- a/coursefold/service.py
+++ b/coursefold/service.py
@@ -12,8 +12,8 @@
 from coursefold.coordination.core import Core
 from coursefold.coordination.effects import Answer, CloudCall, Direct, Read, Tell, Vouch
 from coursefold.policy import Policy
-from coursefold.protocol.ids import JobId, Moment, WallTime
-from coursefold.protocol.wire import DirectOrders, KeyRow, News, encode
+from coursefold.protocol.ids import JobId, MonotonicTime, WallTime
+from coursefold.protocol.wire import DirectCommands, KeyRow, WatchResponse, encode
 from coursefold.settings import Settings
 from coursefold.storage import codec, records, spreading
 from coursefold.storage.batches import Batch
@@ -48,9 +48,9 @@
 OWN_FILES = 12  # listeners, the event loop, standard streams, a few to spare
 
 
-def now() -> Moment:
+def now() -> MonotonicTime:
     """The steady clock."""
-    return Moment(time.monotonic())
+    return MonotonicTime(time.monotonic())
 
 
 class Service:
@@ -270,7 +270,7 @@
         except ValueError as wrong:
             log.error("worker address: %s", wrong)
             return
-        body = encode(DirectOrders(direct.token, direct.session, direct.orders))
+        body = encode(DirectCommands(direct.token, direct.session, direct.orders))
         try:
             # A zone's worth of machines that do not answer must not use up the sockets.
             async with asyncio.timeout(DIRECT_S), self.directs:
@@ -283,7 +283,7 @@
 
     # State service
 
-    def _state_heard(self, sent: Moment) -> None:
+    def _state_heard(self, sent: MonotonicTime) -> None:
         ctx = self.core.ctx
         ctx.state_ok_at = max(ctx.state_ok_at, sent)
 
@@ -300,9 +300,9 @@
                 elif not await self.state.touch(ctx.permit):
                     log.info("lease %d has ended", ctx.permit)
                     ctx.permit = 0
-                    ctx.lease_until = Moment(0.0)
+                    ctx.lease_until = MonotonicTime(0.0)
                     continue
-                ctx.lease_until = Moment(sent + self.life_ms / 1000.0 * 0.998)
+                ctx.lease_until = MonotonicTime(sent + self.life_ms / 1000.0 * 0.998)
                 self._changed()
                 await asyncio.sleep(period)
             except UnavailableError as wrong:
@@ -320,7 +320,7 @@
                 if since < 0:
                     rows, since = await self._load()
                     self._enter()
-                    view.reload([(r.key, r.value, r.stamp) for r in rows], since)
+                    view.reload([(r.key, r.value, r.version) for r in rows], since)
                     ctx.follow_ok_at = max(ctx.follow_ok_at, sent)
                     log.info("%d records read at revision %d", len(rows), since)
                     self._changed()
@@ -330,26 +330,26 @@
                     since = -1
                     continue
                 since = max(since, self._news(news, sent))
-                if news.news:
+                if news.updates:
                     await asyncio.sleep(self.follow_pause)
             except UnavailableError as wrong:
                 log.debug("follow: %s", wrong)
                 await asyncio.sleep(jitter(0.3))
 
-    def _news(self, news: News, sent: Moment) -> int:
+    def _news(self, news: WatchResponse, sent: MonotonicTime) -> int:
         """Take changes; the view is then as new as `sent`."""
         view, ctx = self.core.view, self.core.ctx
         self._enter()
-        for item in news.news:
-            if item.set is not None:
-                view.put(item.set, item.value, item.stamp)
-            elif item.remove is not None:
-                view.drop(item.remove, item.stamp)
-        view.ledger = max(view.ledger, news.ledger)
+        for item in news.updates:
+            if item.set_key is not None:
+                view.put(item.set_key, item.value, item.version)
+            elif item.removed_key is not None:
+                view.drop(item.removed_key, item.version)
+        view.ledger = max(view.ledger, news.revision)
         ctx.follow_ok_at = max(ctx.follow_ok_at, sent)
-        if news.news:
+        if news.updates:
             self._changed()
-        return news.ledger
+        return news.revision
 
     async def _vouch(self) -> None:
         """Bring the view up to date for the questions that wait, all at once."""
@@ -372,7 +372,7 @@
                 core.vouched(tickets)
             self._flush()
 
-    async def _up_to_now(self) -> News:
+    async def _up_to_now(self) -> WatchResponse:
         """All changes that the view does not show yet; tried again when over the rate."""
         for attempt in range(4):
             try:
@@ -388,8 +388,8 @@
 
     async def _load(self) -> tuple[list[KeyRow], int]:
         """All live keys; endings stay out of memory."""
-        found, first = await self.state.rows(records.CATALOG)
-        rows, _ = await self.state.rows(records.ROOT, after=records.ENDINGS + "~")
+        found, first = await self.state.rows(records.CATALOG_KEY)
+        rows, _ = await self.state.rows(records.ROOT, after=records.ENDING_PREFIX + "~")
         return found + rows, first
 
     async def _commits(self) -> None:
@@ -456,17 +456,19 @@
                 if isinstance(row.value, dict):
                     parts, _ = await self.state.rows(spreading.parts_prefix(key))
                 self._enter()
-                view.put(key, row.value, row.stamp)
+                view.put(key, row.value, row.version)
                 for part in parts:
-                    view.put(part.key, part.value, part.stamp)
+                    view.put(part.key, part.value, part.version)
                 # Parts of a later Stamp belong to a newer head: it has to be read again.
                 if not view.incomplete(key):
                     queue.refreshed(key)
-            elif key.startswith(records.JOBS):
-                ended = await self.state.get(key.replace(records.JOBS, records.ENDINGS, 1))
+            elif key.startswith(records.JOB_PREFIX):
+                ended = await self.state.get(
+                    key.replace(records.JOB_PREFIX, records.ENDING_PREFIX, 1)
+                )
                 self._enter()
                 if ended is not None:
-                    view.drop(key, ended.stamp)
+                    view.drop(key, ended.version)
                     queue.over(key)
                 else:
                     queue.refreshed(key)
@@ -489,7 +491,7 @@
                 raise UnavailableError("over our part of the rate", 429)
             row = await self.state.get(ending_key(job))
             if row is not None:
-                ending = codec.parse(row.key, row.value)
+                ending = codec.decode_record(row.key, row.value)
                 found = ending if isinstance(ending, Ending) else None
         except (UnavailableError, msgspec.ValidationError) as wrong:
             log.debug("read %s: %s", job, wrong)
--- a/coursefold/shares/commands.py
+++ b/coursefold/shares/commands.py
@@ -11,7 +11,7 @@
 from coursefold.shares.moves import forget
 from coursefold.shares.planner import NamedRequest, Planner, within
 from coursefold.shares.port import CorePort
-from coursefold.storage.edits import Change, NotApplicableError, Result
+from coursefold.storage.edits import Change, EditResult, NotApplicableError
 from coursefold.storage.share_records import MachineOwnership, ShareRequest
 
 log = logging.getLogger(__name__)
@@ -56,12 +56,12 @@
         "RequestId": name,
         "From": request.source,
         "To": request.target,
-        "Type": request.build,
+        "Type": request.machine_type,
         "Zone": request.zone,
         "Count": request.count,
         "FromCount": request.source_count,
         "ToCount": request.target_count,
-        "Until": request.until,
+        "Until": request.expires_at,
         "Withdrawn": request.withdrawn,
     }
 
@@ -100,7 +100,7 @@
             return
         request = self._checked(command)
 
-        def change(current: Struct | None) -> Result:
+        def change(current: Struct | None) -> EditResult:
             if current is not None:
                 raise NotApplicableError("known already")
             return request
@@ -114,7 +114,7 @@
     def _repeat(self, command: MoveCommand, known: ShareRequest, ticket: int) -> None:
         """The same request is answered as it was; another one can not have its name."""
         same = (
-            (known.source, known.target, known.build, known.zone, known.count)
+            (known.source, known.target, known.machine_type, known.zone, known.count)
             == (command.source, command.target, command.type, command.zone, command.count)
         )  # fmt: skip
         if not same:
@@ -210,7 +210,7 @@
             self.port.answer(ticket, 200, shown(name, known))
             return
 
-        def change(current: Struct | None) -> Result:
+        def change(current: Struct | None) -> EditResult:
             if not isinstance(current, ShareRequest):
                 raise NotApplicableError("gone")
             return msgspec.structs.replace(current, withdrawn=True)
@@ -228,6 +228,6 @@
         if not port.leads() or not port.is_idle():
             return
         for name, request in port.view.share_requests.items():
-            if port.ctx.wall > request.until + KEPT_S:
+            if port.ctx.wall > request.expires_at + KEPT_S:
                 port.forget_request(name, forget(request))
                 return
--- a/coursefold/shares/durations.py
+++ b/coursefold/shares/durations.py
@@ -35,7 +35,7 @@
                 del self.under_way[machine]
                 self._note_handover(machine, known)
         for machine, record in port.view.moves_under_way.items():
-            self.under_way[machine] = UnderWay(record.epoch, record.at)
+            self.under_way[machine] = UnderWay(record.epoch, record.stage_started_at)
         for machine, at in list(self.handed_over_at.items()):
             if port.is_leaving(machine):
                 del self.handed_over_at[machine]
@@ -47,8 +47,8 @@
         record = self.port.view.ownership.get(machine)
         if record is None or record.epoch != known.epoch or record.owner != record.target:
             return  # withdrawn
-        record_seconds(self.handover, max(0.0, record.at - known.requested_at))
-        self.handed_over_at[machine] = record.at
+        record_seconds(self.handover, max(0.0, record.stage_started_at - known.requested_at))
+        self.handed_over_at[machine] = record.stage_started_at
 
     def condition(self) -> dict[str, Any]:
         """Both distributions, for a controller's condition."""
--- a/coursefold/shares/handover.py
+++ b/coursefold/shares/handover.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from coursefold.protocol.ids import Moment
+from coursefold.protocol.ids import MonotonicTime
 from coursefold.shares.moves import hand_over
 from coursefold.shares.port import CorePort
 from coursefold.storage.records import ownership_key
@@ -19,7 +19,7 @@
     def __init__(self, port: CorePort) -> None:
         self.port = port
         self.waiting: dict[str, str] = {}  # machines of ours that are to move: why not yet
-        self.drained_at = Moment(-1e9)
+        self.drained_at = MonotonicTime(-1e9)
 
     def tick(self) -> None:
         """Hand over the machines that can be handed over now."""
@@ -41,8 +41,8 @@
         port = self.port
         return (
             record.source == port.ctx.me
-            and record.roster == port.view.token
-            and port.ctx.wall < record.until
+            and record.roster_token == port.view.token
+            and port.ctx.wall < record.expires_at
         )
 
     def _why_not_yet(self, machine: str, record: MachineOwnership) -> str:
--- a/coursefold/shares/moves.py
+++ b/coursefold/shares/moves.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Struct
 
-from coursefold.storage.edits import Change, NotApplicableError, Remove, Result
+from coursefold.storage.edits import Change, DeleteKey, EditResult, NotApplicableError
 from coursefold.storage.share_records import MachineOwnership, MoveMode, MoveStage
 
 
@@ -34,7 +34,7 @@
 def request(move: Move, roster: int, wall: float) -> Change:
     """Have a machine drained; refused, with its epoch, while another move is under way."""
 
-    def change(current: Struct | None) -> Result:
+    def change(current: Struct | None) -> EditResult:
         known = current if isinstance(current, MachineOwnership) else None
         if known is not None and known.stage != MoveStage.SETTLED:
             raise NotApplicableError(f"move {known.epoch} is under way")
@@ -47,10 +47,10 @@
             stage=MoveStage.DRAINING,
             source=move.source,
             target=move.target,
-            roster=roster,
+            roster_token=roster,
             mode=move.mode,
-            at=wall,
-            until=move.until,
+            stage_started_at=wall,
+            expires_at=move.until,
             why=move.why,
         )
 
@@ -64,10 +64,10 @@
     that of the old request would be lower than the roster's.
     """
 
-    def change(current: Struct | None) -> Result:
+    def change(current: Struct | None) -> EditResult:
         if current != known:
             raise NotApplicableError("the move has changed")
-        return msgspec.structs.replace(known, roster=roster)
+        return msgspec.structs.replace(known, roster_token=roster)
 
     return change
 
@@ -75,11 +75,13 @@
 def withdraw(epoch: int, wall: float, why: str) -> Change:
     """End a move before the handover: the machine stays with the owner that it has."""
 
-    def change(current: Struct | None) -> Result:
+    def change(current: Struct | None) -> EditResult:
         known = _record(current)
         if known.epoch != epoch or known.stage != MoveStage.DRAINING:
             raise NotApplicableError("handed over or withdrawn already")
-        return msgspec.structs.replace(known, stage=MoveStage.SETTLED, at=wall, why=why)
+        return msgspec.structs.replace(
+            known, stage=MoveStage.SETTLED, stage_started_at=wall, why=why
+        )
 
     return change
 
@@ -92,7 +94,7 @@
     owner, or one before it, has ever used for this machine.
     """
 
-    def change(current: Struct | None) -> Result:
+    def change(current: Struct | None) -> EditResult:
         if current != known:
             raise NotApplicableError("the move has changed")
         return msgspec.structs.replace(
@@ -101,7 +103,7 @@
             owner=known.target,
             incarnation=incarnation,
             token=stamp,
-            at=wall,
+            stage_started_at=wall,
         )
 
     return change
@@ -110,9 +112,9 @@
 def forget(known: Struct) -> Change:
     """Remove a record that is no longer needed, unless it has changed meanwhile."""
 
-    def change(current: Struct | None) -> Result:
+    def change(current: Struct | None) -> EditResult:
         if current != known:
             raise NotApplicableError("changed")
-        return Remove()
+        return DeleteKey()
 
     return change
