--- a/coursefold/shares/planner.py
+++ b/coursefold/shares/planner.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from coursefold.protocol.ids import Moment
+from coursefold.protocol.ids import MonotonicTime
 from coursefold.shares.config import ShareRule, SharesConfig
 from coursefold.shares.moves import Move, forget, renew, request, withdraw
 from coursefold.shares.port import CorePort, MachineState
 from coursefold.shares.schedule import Schedule
 from coursefold.shares.targets import Scope, Target, Transfer, resolve, transfers
-from coursefold.storage.edits import LATER
-from coursefold.storage.limits import Budget
+from coursefold.storage.edits import LOW_PRIORITY
+from coursefold.storage.limits import TokenBucket
 from coursefold.storage.share_records import MachineOwnership, MoveStage, ShareRequest
 
 log = logging.getLogger(__name__)
@@ -65,11 +65,11 @@
         self.config, self.port = config, port
         self.limits = config.moves
         self.schedule = Schedule(config.file)
-        self.budget = Budget(self.limits.a_minute / MINUTE_S, float(self.limits.at_once))
-        self.planned_at = self.tidied_at = Moment(-1e9)
+        self.budget = TokenBucket(self.limits.a_minute / MINUTE_S, float(self.limits.at_once))
+        self.planned_at = self.tidied_at = MonotonicTime(-1e9)
         self.led_token = 0
         self.last_epoch = 0
-        self.paused: dict[str, Moment] = {}
+        self.paused: dict[str, MonotonicTime] = {}
         self.status: dict[Scope, ScopeStatus] = {}
         self.outcomes: Counter[str] = Counter()
 
@@ -99,7 +99,7 @@
             why = self._why_to_end(machine, record)
             if why:
                 self.end(machine, record, why)
-            elif record.roster != port.view.token:
+            elif record.roster_token != port.view.token:
                 change = renew(record, port.view.token)
                 port.change_ownership(machine, change, f"renew {port.view.token}")
 
@@ -114,7 +114,7 @@
         moving = {
             machine: record
             for machine, record in self.port.view.moves_under_way.items()
-            if wall - record.at >= LONGEST_HELD_S
+            if wall - record.stage_started_at >= LONGEST_HELD_S
         }
         if not moving:
             return
@@ -125,7 +125,7 @@
         port = self.port
         if record.target not in port.members() or port.owner_of(machine) != record.source:
             return "its controllers have changed"
-        if port.ctx.wall >= record.until:
+        if port.ctx.wall >= record.expires_at:
             return "its time is over"
         if port.is_leaving(machine):
             return "the machine is being returned"
@@ -138,7 +138,7 @@
         if port.change_ownership(machine, change, f"withdraw {record.epoch}"):
             log.info("move %d of %s withdrawn: %s", record.epoch, machine, why)
             self.outcomes["withdrawn"] += 1
-        self.paused[machine] = Moment(port.ctx.now + self.limits.retry_s)
+        self.paused[machine] = MonotonicTime(port.ctx.now + self.limits.retry_s)
 
     # The plan
 
@@ -150,16 +150,18 @@
         for rule in self.schedule.rules_at(wall):
             rules.setdefault(rule.scope, []).append(rule)
         requests: dict[Scope, NamedRequest] = {}
-        by_age = sorted(self.port.view.share_requests.items(), key=lambda item: item[1].at)
+        by_age = sorted(
+            self.port.view.share_requests.items(), key=lambda item: item[1].requested_at
+        )
         for name, found in by_age:
-            if found.withdrawn or wall >= found.until:
+            if found.withdrawn or wall >= found.expires_at:
                 continue
-            scope = (found.build, found.zone)
+            scope = (found.machine_type, found.zone)
             requests[scope] = NamedRequest(name, found)
             counts = ((found.source, found.source_count), (found.target, found.target_count))
             for controller, machines in counts:
                 kept = [r for r in rules.get(scope, []) if r.controller != controller]
-                rule = ShareRule(controller, found.build, found.zone, machines=machines)
+                rule = ShareRule(controller, found.machine_type, found.zone, machines=machines)
                 rules[scope] = [*kept, rule]
         return Plan(rules, requests, f"window {window.name}" if window else "shares")
 
@@ -185,7 +187,7 @@
                 tolerance = 0 if scope in plan.requests else self.limits.tolerance
                 found = transfers(owned, targets, tolerance, most)
                 wanted.extend((transfer, members, scope) for transfer in found)
-        room = min(self.limits.at_once - len(under_way), int(self.budget.fill(port.ctx.now)))
+        room = min(self.limits.at_once - len(under_way), int(self.budget.refill(port.ctx.now)))
         self._request_all(plan, wanted, room)
 
     def targets(self, scope: Scope) -> dict[str, Target]:
@@ -272,7 +274,7 @@
         move = Move(state.id, transfer.source, transfer.target, epoch, mode, until, why)
         change = request(move, port.view.token, wall)
         if port.change_ownership(state.id, change, "request"):
-            self.budget.take(port.ctx.now, 1)
+            self.budget.spend(port.ctx.now, 1)
             self.outcomes["requested"] += 1
             log.info(
                 "move %d: %s from %s to %s, by %s",
@@ -290,8 +292,8 @@
         for machine, record in port.view.ownership.items():
             if record.stage != MoveStage.SETTLED:
                 continue
-            is_gone = port.is_gone(machine) and port.ctx.wall - record.at > GONE_FOR_S
+            is_gone = port.is_gone(machine) and port.ctx.wall - record.stage_started_at > GONE_FOR_S
             # Its token must not fall: only a later roster's can stand for it.
             says_nothing = record.token < port.view.token and port.is_owned_by_hash(machine, record)
             if is_gone or says_nothing:
-                port.change_ownership(machine, forget(record), "forget", rank=LATER)
+                port.change_ownership(machine, forget(record), "forget", rank=LOW_PRIORITY)
--- a/coursefold/shares/port.py
+++ b/coursefold/shares/port.py
@@ -10,13 +10,13 @@
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 from coursefold.storage import records
-from coursefold.storage.edits import SOON, Change, Edit
+from coursefold.storage.edits import NORMAL_PRIORITY, Change, Edit
 from coursefold.storage.records import (
-    DEALT,
+    ASSIGNED,
     PLACED,
-    Entry,
     JobRecord,
     MemberRecord,
+    TaskEntry,
     ownership_key,
     share_request_key,
 )
@@ -54,11 +54,11 @@
 
     def is_active(self) -> bool:
         """May this controller decide for its machines, in the forms that shares need?"""
-        return self.ctx.active() and self.view.level >= records.WITH_SHARES
+        return self.ctx.active() and self.view.level >= records.SHARES_LEVEL
 
     def leads(self) -> bool:
         """May this controller decide for all of them?"""
-        return self.ctx.leading() and self.view.level >= records.WITH_SHARES
+        return self.ctx.leading() and self.view.level >= records.SHARES_LEVEL
 
     def leader(self) -> str:
         """The controller that leads, as far as is known."""
@@ -79,8 +79,8 @@
 
     def incarnation(self, member: str) -> int:
         """The lease of a member's process; 0 if it is not in the roster."""
-        found = self.ctx.roster.member(member) if self.ctx.roster else None
-        return found.permit if found else 0
+        found = self.ctx.roster.find_member(member) if self.ctx.roster else None
+        return found.lease_id if found else 0
 
     def most_machines(self) -> int:
         """Machines that one controller has connections for."""
@@ -218,14 +218,14 @@
             return "a task's end is not written yet"
         return self._obstacle(own)
 
-    def tasks_to_end(self, machine: str) -> list[tuple[JobId, Entry]]:
+    def tasks_to_end(self, machine: str) -> list[tuple[JobId, TaskEntry]]:
         """Tasks that have to end before a handover: all but replicas that stay where they are."""
         own = self.ctx.machines.get(machine)
         found = []
         for job_id, entry in self.view.on_machine(machine):
-            if entry.stage == DEALT:
+            if entry.stage == ASSIGNED:
                 continue  # only a hint; its owner finds another machine
-            is_service = self.view.jobs[job_id].spec.shape == "standing"
+            is_service = self.view.jobs[job_id].spec.kind == "standing"
             listed = own.tasks.get((job_id, entry.index)) if own else None
             is_running = listed is not None and listed.state == "running"
             if not (is_service and entry.stage == PLACED and is_running):
@@ -234,14 +234,14 @@
 
     def _ending_tasks(self, machine: str) -> int:
         return sum(
-            entry.stage != DEALT and self.view.jobs[job_id].spec.shape != "standing"
+            entry.stage != ASSIGNED and self.view.jobs[job_id].spec.kind != "standing"
             for job_id, entry in self.view.on_machine(machine)
         )
 
-    def can_save(self, job: JobRecord, entry: Entry) -> bool:
+    def can_save(self, job: JobRecord, entry: TaskEntry) -> bool:
         """Could this task be stopped without losing work?"""
         spec = job.spec
-        return spec.shape == "array" and spec.checkpoint > 0 and entry.stage == PLACED
+        return spec.kind == "array" and spec.checkpoint_interval_s > 0 and entry.stage == PLACED
 
     def rooms(self) -> list[Room]:
         """Free room on all machines that take tasks."""
@@ -256,16 +256,20 @@
         room.take(spec)
         return True
 
-    def save_and_stop(self, job: JobId, entry: Entry) -> bool:
+    def save_and_stop(self, job: JobId, entry: TaskEntry) -> bool:
         """Have a task stopped with time to save its progress."""
         steps = self.core.owner.commands.steps
         return steps.propose(job, "stop", entry, f"stop{entry.index}")
 
     # Writing
 
-    def change_ownership(self, machine: str, change: Change, tag: str, *, rank: int = SOON) -> bool:
+    def change_ownership(
+        self, machine: str, change: Change, tag: str, *, rank: int = NORMAL_PRIORITY
+    ) -> bool:
         """Have a machine's record changed; False while the same change is under way."""
-        edit = Edit(ownership_key(machine), change, rank=rank, fence=self.view.token, tag=tag)
+        edit = Edit(
+            ownership_key(machine), change, priority=rank, fencing_token=self.view.token, tag=tag
+        )
         return self.core.queue.propose(edit)
 
     def change_request(self, request: str, change: Change, ticket: int, answer: Any) -> None:
@@ -277,12 +281,14 @@
             else:
                 self.answer(ticket, 503, {"error": f"not written: {why}"}, retry_after=1)
 
-        edit = Edit(share_request_key(request), change, fence=self.view.token, done=settled)
+        edit = Edit(
+            share_request_key(request), change, fencing_token=self.view.token, on_settled=settled
+        )
         self.core.queue.propose(edit)
 
     def forget_request(self, request: str, change: Change) -> None:
         """Have the record of a request that is over removed."""
-        edit = Edit(share_request_key(request), change, fence=self.view.token, tag="forget")
+        edit = Edit(share_request_key(request), change, fencing_token=self.view.token, tag="forget")
         self.core.queue.propose(edit)
 
     def is_idle(self) -> bool:
--- a/coursefold/shares/shares.py
+++ b/coursefold/shares/shares.py
@@ -23,7 +23,7 @@
         self.planner = Planner(config, self.port)
         self.durations = Durations(self.port)
         self.commands = Commands(self.port, self.planner, config.controllers)
-        core.upgrade.want_level(records.WITH_SHARES)
+        core.upgrade.want_level(records.SHARES_LEVEL)
         core.extensions.append(self)
 
     def tick(self) -> None:
@@ -46,7 +46,7 @@
         requests = sorted(self.port.view.share_requests.items())
         return {
             "shares": {
-                "on": self.port.view.level >= records.WITH_SHARES,
+                "on": self.port.view.level >= records.SHARES_LEVEL,
                 "leads": self.port.leads(),
                 "window": window.name if window else "",
                 "scopes": self._scopes(),
@@ -54,7 +54,7 @@
                 "outcomes": dict(self.planner.outcomes),
                 "durations": self.durations.condition(),
                 "requests": [
-                    shown(name, request) for name, request in requests if wall < request.until
+                    shown(name, request) for name, request in requests if wall < request.expires_at
                 ],
             }
         }
@@ -81,7 +81,9 @@
 
     def _moves(self) -> list[dict[str, Any]]:
         """Moves under way, the oldest first; why not yet is known to the old owner alone."""
-        under_way = sorted(self.port.view.moves_under_way.items(), key=lambda item: item[1].at)
+        under_way = sorted(
+            self.port.view.moves_under_way.items(), key=lambda item: item[1].stage_started_at
+        )
         return [
             {
                 "machine": machine,
@@ -89,7 +91,7 @@
                 "to": record.target,
                 "epoch": record.epoch,
                 "mode": record.mode.name.lower(),
-                "for_s": round(max(0.0, self.port.ctx.wall - record.at), 1),
+                "for_s": round(max(0.0, self.port.ctx.wall - record.stage_started_at), 1),
                 "why": record.why,
                 "waits": self.handover.waiting.get(machine, ""),
             }
--- a/coursefold/storage/batches.py
+++ b/coursefold/storage/batches.py
@@ -3,8 +3,8 @@
 from typing import Any, NamedTuple
 
 from coursefold.storage import codec, records, spreading
-from coursefold.storage.edits import Edit, End, Remove, Result
-from coursefold.storage.limits import Limits
+from coursefold.storage.edits import ArchiveEnding, DeleteKey, Edit, EditResult
+from coursefold.storage.limits import StateServiceLimits
 from coursefold.storage.view import View
 
 MOST_BYTES = 48 * 1024  # of 64 KiB, counted in JSON; conditions and names take some
@@ -20,11 +20,11 @@
     """A transaction under way."""
 
     body: dict[str, Any]
-    results: dict[str, Result]
+    results: dict[str, EditResult]
     edits: list[Edit]
     writes: int
     parts: dict[str, int]  # of the records laid over several keys
-    limits: Limits
+    limits: StateServiceLimits
 
 
 class KeyChange(NamedTuple):
@@ -38,12 +38,12 @@
 class Draft:
     """A transaction that is being put together."""
 
-    def __init__(self, view: View, limits: Limits) -> None:
+    def __init__(self, view: View, limits: StateServiceLimits) -> None:
         self.view, self.limits = view, limits
         self.fence: int | None = None
         self.guards: dict[str, int] = {}
         self.writes: list[dict[str, Any]] = []
-        self.results: dict[str, Result] = {}
+        self.results: dict[str, EditResult] = {}
         self.edits: list[Edit] = []
         self.size = 0
         self.parts: dict[str, int] = {}
@@ -59,7 +59,9 @@
     def goes_with(self, edits: list[Edit]) -> bool:
         """Are the edits fenced, or not, like those so far?"""
         token = self.view.token
-        is_fenced = any(edit.fence is not None and edit.fence == token for edit in edits)
+        is_fenced = any(
+            edit.fencing_token is not None and edit.fencing_token == token for edit in edits
+        )
         return not self.edits or is_fenced == (self.fence is not None)
 
     def is_too_heavy(self, change: KeyChange) -> bool:
@@ -73,17 +75,17 @@
         within = len(self.writes) + len(change.writes) <= self.limits.txn_ops
         return within and not self.is_too_heavy(change)
 
-    def add(self, key: str, edits: list[Edit], result: Result, change: KeyChange) -> None:
+    def add(self, key: str, edits: list[Edit], result: EditResult, change: KeyChange) -> None:
         """Add a key's result, on the condition that its record is still the one we know."""
         self.parts[key] = change.parts
         self.size += change.size + KEY_BYTES
         self.guards[key] = self.view.stamp(key)
-        if key.startswith(records.JOBS) and self.guards[key] == 0:
+        if key.startswith(records.JOB_PREFIX) and self.guards[key] == 0:
             # An accept must not bring back a job that is over.
-            self.guards[key.replace(records.JOBS, records.ENDINGS, 1)] = 0
+            self.guards[key.replace(records.JOB_PREFIX, records.ENDING_PREFIX, 1)] = 0
         for edit in edits:
-            if edit.fence is not None:
-                self.fence = edit.fence
+            if edit.fencing_token is not None:
+                self.fence = edit.fencing_token
         self.writes.extend(change.writes)
         self.results[key] = result
         self.edits.extend(edits)
@@ -91,30 +93,30 @@
     def batch(self) -> Batch:
         """The transaction as it is sent."""
         if self.fence is not None:
-            self.guards[records.ROSTER] = self.fence
+            self.guards[records.ROSTER_KEY] = self.fence
         guards = [{"K": key, "Stamp": stamp} for key, stamp in self.guards.items()]
         body = {"Guards": guards, "Then": self.writes}
         return Batch(body, self.results, self.edits, len(self.writes), self.parts, self.limits)
 
-    def change_of(self, key: str, result: Result, permit: int | None) -> KeyChange:
+    def change_of(self, key: str, result: EditResult, permit: int | None) -> KeyChange:
         """What a key's result changes; a large record is laid over several keys."""
         old = self.view.spread.get(key, 0)
         gone = [{"Remove": spreading.part_key(key, number)} for number in range(1, old + 1)]
-        if isinstance(result, Remove):
+        if isinstance(result, DeleteKey):
             return KeyChange([{"Remove": key}, *gone], REMOVE_BYTES, 0)
-        if isinstance(result, End):
-            ending = key.replace(records.JOBS, records.ENDINGS, 1)
-            value = codec.dump(result.ending)
+        if isinstance(result, ArchiveEnding):
+            ending = key.replace(records.JOB_PREFIX, records.ENDING_PREFIX, 1)
+            value = codec.encode_record(result.ending)
             moved = [{"Remove": key}, {"Set": ending, "Value": value}]
             return KeyChange([*moved, *gone], END_BYTES, 0)
         level = self.view.level
-        limit = self.limits.value if level else UNLIMITED
-        head, parts = spreading.spread(codec.dump(result, level), limit)
+        limit = self.limits.value_bytes if level else UNLIMITED
+        head, parts = spreading.spread(codec.encode_record(result, level), limit)
         write: dict[str, Any] = {"Set": key, "Value": head}
         if permit is not None:
             write["Permit"] = permit
         writes = [write]
         for number, text in enumerate(parts, 1):
             writes.append({"Set": spreading.part_key(key, number), "Value": text})
-        size = codec.size(head) + sum(len(text) for text in parts)
+        size = codec.json_size_bytes(head) + sum(len(text) for text in parts)
         return KeyChange(writes + gone[len(parts) :], size, len(parts))
--- a/coursefold/storage/cell_records.py
+++ b/coursefold/storage/cell_records.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 
-class AwayStage(IntEnum):
+class DelegationStage(IntEnum):
     """How far the handover of a job to another cell has come, by its home cell's record."""
 
     HOME = 0  # it has come back; kept for its epoch and for the reason
@@ -20,16 +20,16 @@
     WITHDRAWN = 4  # the guest cell is to stop it; it comes back once that has proof
 
 
-class Away(Struct, array_like=True, frozen=True):
+class Delegation(Struct, array_like=True, frozen=True):
     """Where a job was handed to. `epoch` counts its offers and never falls."""
 
-    cell: str
+    guest_cell: str
     epoch: int
-    stage: AwayStage
-    at: float  # when the stage began, time of day
+    stage: DelegationStage
+    stage_started_at: float  # when the stage began, time of day
     reservation: str = ""  # the guest cell's own name of it, never used again
-    expected_here: float = 0.0  # seconds until its start, when it was offered
-    expected_there: float = 0.0
+    expected_home_s: float = 0.0  # seconds until its start, when it was offered
+    expected_guest_s: float = 0.0
     why: str = ""  # why it was offered, or why it came back
 
 
@@ -45,11 +45,11 @@
 class Guest(Struct, array_like=True, frozen=True):
     """Whose job this is, and under which offer and reservation it is here."""
 
-    home: str
+    home_cell: str
     epoch: int
     reservation: str
     stage: GuestStage
-    at: float  # when the stage began, time of day
+    stage_started_at: float  # when the stage began, time of day
 
 
 class CellLink(Struct, array_like=True, frozen=True):
@@ -61,6 +61,6 @@
 
     granted_until: float = 0.0
     granted_s: float = 0.0
-    granted_gone_s: float = 0.0  # after it, workers there may run on so long: their lease
+    granted_lease_s: float = 0.0  # after it, workers there may run on so long: their lease
     held_until: float = 0.0
     held_s: float = 0.0
--- a/coursefold/storage/codec.py
+++ b/coursefold/storage/codec.py
@@ -10,28 +10,28 @@
 from msgspec import Struct
 
 from coursefold.protocol.wire import Catalog, Job
-from coursefold.storage.cell_records import Away, CellLink, Guest
+from coursefold.storage.cell_records import CellLink, Delegation, Guest
 from coursefold.storage.records import (
-    CATALOG,
-    CELL_LINKS,
-    ENDINGS,
-    JOBS,
-    LEVEL,
-    MEMBERS,
-    OWNERSHIPS,
-    POOLS,
-    ROSTER,
-    SHARE_REQUESTS,
-    TYPES,
-    VERSIONS,
+    CATALOG_KEY,
+    CELL_LINK_PREFIX,
+    ENDING_PREFIX,
+    FORMAT_LEVEL_KEY,
+    JOB_PREFIX,
+    MACHINE_TYPES_KEY,
+    MEMBER_PREFIX,
+    OWNERSHIP_PREFIX,
+    POOL_PREFIX,
+    ROSTER_KEY,
+    SHARE_REQUEST_PREFIX,
+    VERSION_PREFIX,
     Ending,
-    Entry,
+    FormatLevel,
     JobRecord,
-    Level,
     MemberRecord,
+    MemberVersion,
     PoolRecord,
     Roster,
-    Version,
+    TaskEntry,
 )
 from coursefold.storage.share_records import MachineOwnership, ShareRequest
 
@@ -40,28 +40,28 @@
     """A job's description without field names."""
 
     name: str
-    lane: str
+    job_class: str
     team: str
-    shape: str
-    rank: str
-    tasks: int
+    kind: str
+    priority: str
+    task_count: int
     cpus: float
     gpus: float
-    memory: float
+    memory_gb: float
     image: str
     image_gb: float
-    together: bool
-    apart: bool
-    spot: bool
-    estimate: float
-    checkpoint: float
-    save: float
-    builds: list[str] | None
+    same_zone: bool
+    spread_zones: bool
+    may_use_spot: bool
+    estimated_run_s: float
+    checkpoint_interval_s: float
+    checkpoint_save_s: float
+    machine_types: list[str] | None
     zone: str | None
-    due: float | None
+    deadline_s: float | None
 
 
-class Run(Struct, array_like=True, frozen=True):
+class EntryRun(Struct, array_like=True, frozen=True):
     """Entries in a row that differ only by number and machine.
 
     A gang of hundreds has one entry a task, and has to fit one value: its places are
@@ -72,7 +72,7 @@
     index: int
     stage: int
     attempt: int
-    rising: int
+    attempt_step: int
     owner: str
     zone: str
     session: int
@@ -89,15 +89,15 @@
     return low
 
 
-def pack(entries: list[Entry]) -> list[Run]:
+def pack_entries(entries: list[TaskEntry]) -> list[EntryRun]:
     """Entries as runs, in the same order."""
-    runs: list[Run] = []
+    runs: list[EntryRun] = []
     at = 0
     while at < len(entries):
         first = entries[at]
         rising = int(at + 1 < len(entries) and entries[at + 1].attempt == first.attempt + 1)
         end = at + 1
-        while end < len(entries) and entries[end] == Entry(
+        while end < len(entries) and entries[end] == TaskEntry(
             first.index + end - at, first.stage, first.attempt + rising * (end - at), first.owner,
             first.zone, entries[end].machine, first.session,
         ):  # fmt: skip
@@ -108,37 +108,39 @@
         if any(" " in name for name in ends):  # never seen; a name is the cloud's own
             end, prefix, ends = at + 1, names[0], [""]
         same = (first.owner, first.zone, first.session)
-        run = Run(first.index, first.stage, first.attempt, rising, *same, prefix, " ".join(ends))
+        run = EntryRun(
+            first.index, first.stage, first.attempt, rising, *same, prefix, " ".join(ends)
+        )
         runs.append(run)
         at = end
     return runs
 
 
-def unpack(runs: list[Run]) -> list[Entry]:
+def unpack_entries(runs: list[EntryRun]) -> list[TaskEntry]:
     """The entries of runs."""
-    entries: list[Entry] = []
+    entries: list[TaskEntry] = []
     for r in runs:
         for k, name in enumerate(r.machines.split(" ")):
-            attempt, machine = r.attempt + r.rising * k, r.prefix + name
+            attempt, machine = r.attempt + r.attempt_step * k, r.prefix + name
             entries.append(
-                Entry(r.index + k, r.stage, attempt, r.owner, r.zone, machine, r.session)
+                TaskEntry(r.index + k, r.stage, attempt, r.owner, r.zone, machine, r.session)
             )
     return entries
 
 
 class _Job(Struct, array_like=True, frozen=True):
     spec: _Spec
-    at: float
+    accepted_at: float
     status: int
     attempt: int
-    entries: list[Run]
-    done: list[tuple[int, int]]
-    errors: int = 0
+    entries: list[EntryRun]
+    done_ranges: list[tuple[int, int]]
+    failure_count: int = 0
     retry_at: float = 0.0
     failed_on: list[str] = []
-    needs: list[str] = []
-    ready: float = 0.0
-    away: Away | None = None
+    open_prerequisites: list[str] = []
+    ready_at: float = 0.0
+    delegation: Delegation | None = None
     guest: Guest | None = None
 
 
@@ -163,13 +165,14 @@
 _LEAST: dict[type[Struct], int] = {_Job: 6, Ending: 2, Roster: 2}
 
 
-def dump(record: Struct, level: int = 0) -> Any:
+def encode_record(record: Struct, level: int = 0) -> Any:
     """A record as plain data for the wire, in the newest form that all controllers read."""
     if isinstance(record, JobRecord):
         record = _Job(
-            _plain(record.spec), record.at, record.status, record.attempt, pack(record.entries),
-            record.done, record.errors, record.retry_at, record.failed_on, record.needs,
-            record.ready, record.away, record.guest,
+            _plain(record.spec), record.accepted_at, record.status, record.attempt,
+            pack_entries(record.entries), record.done_ranges, record.failure_count,
+            record.retry_at, record.failed_on, record.open_prerequisites, record.ready_at,
+            record.delegation, record.guest,
         )  # fmt: skip
     elif isinstance(record, Roster) and level:
         record = _Roster(level, record.leader, record.members)
@@ -181,44 +184,45 @@
     return value
 
 
-SHAPES: dict[str, type[Struct]] = {
-    JOBS: _Job,
-    ENDINGS: Ending,
-    MEMBERS: MemberRecord,
-    POOLS: PoolRecord,
-    VERSIONS: Version,
-    CELL_LINKS: CellLink,
-    OWNERSHIPS: MachineOwnership,
-    SHARE_REQUESTS: ShareRequest,
+RECORD_TYPES: dict[str, type[Struct]] = {
+    JOB_PREFIX: _Job,
+    ENDING_PREFIX: Ending,
+    MEMBER_PREFIX: MemberRecord,
+    POOL_PREFIX: PoolRecord,
+    VERSION_PREFIX: MemberVersion,
+    CELL_LINK_PREFIX: CellLink,
+    OWNERSHIP_PREFIX: MachineOwnership,
+    SHARE_REQUEST_PREFIX: ShareRequest,
 }
 
 
-def parse(key: str, value: Any) -> Struct | None:
+def decode_record(key: str, value: Any) -> Struct | None:
     """The record at a key, or None where the key is not ours."""
-    if key == ROSTER:
+    if key == ROSTER_KEY:
         if isinstance(value, list) and value and isinstance(value[0], int):
             newer = msgspec.convert(value, _Roster)
             return Roster(newer.leader, newer.members, newer.level)
         return msgspec.convert(value, Roster)
-    if key in (CATALOG, TYPES):
+    if key in (CATALOG_KEY, MACHINE_TYPES_KEY):
         return msgspec.convert(value, Catalog)
-    if key == LEVEL:
-        return msgspec.convert(value, Level)
-    for prefix, shape in SHAPES.items():
+    if key == FORMAT_LEVEL_KEY:
+        return msgspec.convert(value, FormatLevel)
+    for prefix, shape in RECORD_TYPES.items():
         if key.startswith(prefix):
-            if prefix == JOBS and isinstance(value, list) and 2 <= len(value) <= 3:
+            if prefix == JOB_PREFIX and isinstance(value, list) and 2 <= len(value) <= 3:
                 return msgspec.convert(value, Ending)  # ended, not yet moved
             record = msgspec.convert(value, shape)
             if isinstance(record, _Job):
                 return JobRecord(
-                    _rich(record.spec), record.at, record.status, record.attempt,
-                    unpack(record.entries), record.done, record.errors, record.retry_at,
-                    record.failed_on, record.needs, record.ready, record.away, record.guest,
+                    _rich(record.spec), record.accepted_at, record.status, record.attempt,
+                    unpack_entries(record.entries), record.done_ranges, record.failure_count,
+                    record.retry_at, record.failed_on, record.open_prerequisites, record.ready_at,
+                    record.delegation, record.guest,
                 )  # fmt: skip
             return record
     return None
 
 
-def size(value: Any) -> int:
+def json_size_bytes(value: Any) -> int:
     """Bytes of a value in JSON form, which is how the limits count."""
     return len(msgspec.json.encode(value))
--- a/coursefold/storage/edits.py
+++ b/coursefold/storage/edits.py
@@ -10,54 +10,64 @@
 
 from coursefold.storage import records
 
-FIRST, SOON, LATER = 0, 1, 2
+HIGH_PRIORITY, NORMAL_PRIORITY, LOW_PRIORITY = 0, 1, 2
 
 
 class NotApplicableError(Exception):
     """Raised by an edit that no longer applies; its text says why."""
 
 
-class Remove(NamedTuple):
+class DeleteKey(NamedTuple):
     """An edit's result: the key goes."""
 
 
-class End(NamedTuple):
+class ArchiveEnding(NamedTuple):
     """An edit's result: an ended job's final record moves to where it stays for good."""
 
     ending: records.Ending
 
 
-Result = Struct | Remove | End
-Change = Callable[[Struct | None], Result]
+EditResult = Struct | DeleteKey | ArchiveEnding
+Change = Callable[[Struct | None], EditResult]
 
 
 class Edit:
     """One change of one key. `fenced` edits hold only under the roster they were made for."""
 
-    __slots__ = ("change", "conflicts", "done", "fence", "key", "permit", "rank", "tag", "tries")
+    __slots__ = (
+        "change",
+        "conflict_count",
+        "fencing_token",
+        "key",
+        "lease_id",
+        "on_settled",
+        "priority",
+        "tag",
+        "try_count",
+    )
 
     def __init__(
         self,
         key: str,
         change: Change,
         *,
-        rank: int = SOON,
-        fence: int | None = None,
-        done: Callable[[bool, str], None] | None = None,
-        permit: int | None = None,
+        priority: int = NORMAL_PRIORITY,
+        fencing_token: int | None = None,
+        on_settled: Callable[[bool, str], None] | None = None,
+        lease_id: int | None = None,
         tag: str = "",
     ) -> None:
         self.key = key
         self.change = change
-        self.rank = rank
-        self.fence = fence
-        self.done = done
-        self.permit = permit
+        self.priority = priority
+        self.fencing_token = fencing_token
+        self.on_settled = on_settled
+        self.lease_id = lease_id
         self.tag = tag
-        self.tries = 0
-        self.conflicts = 0
+        self.try_count = 0
+        self.conflict_count = 0
 
     def settle(self, ok: bool, why: str = "") -> None:
         """Tell the proposer what became of the edit."""
-        if self.done is not None:
-            self.done(ok, why)
+        if self.on_settled is not None:
+            self.on_settled(ok, why)
--- a/coursefold/storage/limits.py
+++ b/coursefold/storage/limits.py
@@ -2,32 +2,32 @@
 
 from typing import NamedTuple
 
-from coursefold.protocol.ids import Moment
+from coursefold.protocol.ids import MonotonicTime
 
 
-class Limits(NamedTuple):
+class StateServiceLimits(NamedTuple):
     """What the state service takes."""
 
     txn_ops: int
-    value: int  # bytes
+    value_bytes: int  # bytes
     write_rps: float
 
 
-class Budget:
+class TokenBucket:
     """A token bucket; local, for nodes share the service's rate without asking each other."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate, self.burst = rate, burst
-        self.level, self.at = burst, Moment(0.0)
+        self.available, self.refilled_at = burst, MonotonicTime(0.0)
 
-    def fill(self, now: Moment) -> float:
+    def refill(self, now: MonotonicTime) -> float:
         """Add what has come in since the last look; how much there is."""
-        if now > self.at:
-            self.level = min(self.burst, self.level + (now - self.at) * self.rate)
-            self.at = now
-        return self.level
+        if now > self.refilled_at:
+            self.available = min(self.burst, self.available + (now - self.refilled_at) * self.rate)
+            self.refilled_at = now
+        return self.available
 
-    def take(self, now: Moment, amount: float) -> None:
+    def spend(self, now: MonotonicTime, amount: float) -> None:
         """Spend an amount."""
-        self.fill(now)
-        self.level -= amount
+        self.refill(now)
+        self.available -= amount
--- a/coursefold/storage/queue.py
+++ b/coursefold/storage/queue.py
@@ -19,11 +19,18 @@
 import msgspec
 from msgspec import Struct
 
-from coursefold.protocol.ids import Moment
+from coursefold.protocol.ids import MonotonicTime
 from coursefold.storage import codec, records, spreading
 from coursefold.storage.batches import Batch, Draft
-from coursefold.storage.edits import FIRST, Edit, End, NotApplicableError, Remove, Result
-from coursefold.storage.limits import Budget, Limits
+from coursefold.storage.edits import (
+    HIGH_PRIORITY,
+    ArchiveEnding,
+    DeleteKey,
+    Edit,
+    EditResult,
+    NotApplicableError,
+)
+from coursefold.storage.limits import StateServiceLimits, TokenBucket
 from coursefold.storage.records import JobRecord
 from coursefold.storage.view import View
 
@@ -43,10 +50,10 @@
         txn_ops: int,
         value_kb: float,
         write_rps: float,
-        later: Limits | None = None,
+        later: StateServiceLimits | None = None,
     ) -> None:
         self.view = view
-        self.limits = Limits(txn_ops, int(value_kb * 1024), write_rps)
+        self.limits = StateServiceLimits(txn_ops, int(value_kb * 1024), write_rps)
         self.later = later
         self.parked: dict[str, list[Edit]] = {}
         self.wall = 0.0
@@ -55,9 +62,9 @@
         self.stale: set[str] = set()
         # The service counts all nodes' changes together. Leases, accepts and cancellations
         # have a budget of their own, so that no backlog of other work delays them.
-        self.first = Budget(write_rps * 0.5, max(2.0, write_rps * 0.5))
-        self.budget = Budget(write_rps * 0.8, max(2.0, write_rps * 0.6))
-        self.pause_until = Moment(0.0)
+        self.first = TokenBucket(write_rps * 0.5, max(2.0, write_rps * 0.5))
+        self.budget = TokenBucket(write_rps * 0.8, max(2.0, write_rps * 0.6))
+        self.pause_until = MonotonicTime(0.0)
         self.tags: set[tuple[str, str]] = set()
         self.fresh = False  # something was proposed since the last look
 
@@ -81,7 +88,7 @@
             return
         now = self.limits
         if sizes:
-            now = now._replace(txn_ops=self.later.txn_ops, value=self.later.value)
+            now = now._replace(txn_ops=self.later.txn_ops, value_bytes=self.later.value_bytes)
         if rate:
             now = now._replace(write_rps=self.later.write_rps)
         if now != self.limits:
@@ -92,13 +99,15 @@
         """Keys of one record; some are left for what has to go with it."""
         return max(1, min(self.limits.txn_ops - 1, 16))
 
-    def idle(self, now: Moment) -> bool:
+    def idle(self, now: MonotonicTime) -> bool:
         """True if there is room for what is never urgent."""
-        return not self.waiting and self.budget.fill(now) >= 0.95 * self.budget.burst
+        return not self.waiting and self.budget.refill(now) >= 0.95 * self.budget.burst
 
     def urgent(self) -> int:
         """Keys that wait with acceptances, cancellations or what membership needs."""
-        return sum(any(e.rank == FIRST for e in edits) for edits in self.waiting.values())
+        return sum(
+            any(e.priority == HIGH_PRIORITY for e in edits) for edits in self.waiting.values()
+        )
 
     def claim(self, edit: Edit) -> bool:
         """Reserve an edit's tag while it is under way elsewhere."""
@@ -143,7 +152,7 @@
 
     def _build(
         self, key: str, edits: list[Edit], one_by_one: bool = False
-    ) -> tuple[list[Edit], Result | None]:
+    ) -> tuple[list[Edit], EditResult | None]:
         """Apply a key's edits to its record; those that do not apply are settled.
 
         An edit that fails only because of another in the same transaction waits
@@ -159,10 +168,10 @@
             return [], None
         kept: list[Edit] = []
         deferred: list[Edit] = []
-        result: Result | None = None
+        result: EditResult | None = None
         current = before
         for edit in edits:
-            if isinstance(result, (End, Remove, records.Ending)):
+            if isinstance(result, (ArchiveEnding, DeleteKey, records.Ending)):
                 deferred.append(edit)
                 continue
             outcome = self._apply(edit, current, deferred if kept else None)
@@ -172,7 +181,7 @@
                 self._put_aside(edit, before, outcome)
                 continue
             if isinstance(outcome, records.Ending) and self.view.level:
-                outcome = msgspec.structs.replace(outcome, at=round(self.wall, 1))
+                outcome = msgspec.structs.replace(outcome, ended_at=round(self.wall, 1))
             result = outcome
             if isinstance(outcome, Struct):
                 current = outcome
@@ -186,9 +195,9 @@
 
     def _apply(
         self, edit: Edit, current: Struct | None, deferred: list[Edit] | None
-    ) -> Result | None:
+    ) -> EditResult | None:
         """An edit's outcome; None if it does not apply, and is settled or, if it may, deferred."""
-        if edit.fence is not None and edit.fence != self.view.token:
+        if edit.fencing_token is not None and edit.fencing_token != self.view.token:
             self._settle(edit, False, "fenced")
             return None
         try:
@@ -200,25 +209,25 @@
                 self._settle(edit, False, str(why) or "void")
             return None
 
-    def _put_aside(self, edit: Edit, before: Struct | None, outcome: Result) -> None:
+    def _put_aside(self, edit: Edit, before: Struct | None, outcome: EditResult) -> None:
         """An edit whose record is too large: it waits if it makes the record smaller."""
         if self._shrinks(before, outcome):
             self.parked.setdefault(edit.key, []).append(edit)
         else:
             self._settle(edit, False, "too large")
 
-    def _too_large(self, result: Result | None) -> bool:
+    def _too_large(self, result: EditResult | None) -> bool:
         """True if the record cannot be written within the service's limits."""
         if not isinstance(result, (JobRecord, records.PoolRecord)):
             return False
-        value = codec.dump(result, self.view.level)
-        if codec.size(value) <= self.limits.value:
+        value = codec.encode_record(result, self.view.level)
+        if codec.json_size_bytes(value) <= self.limits.value_bytes:
             return False
         if not self.view.level:
             return True
-        return len(spreading.spread(value, self.limits.value).parts) >= self.most_parts()
+        return len(spreading.spread(value, self.limits.value_bytes).parts) >= self.most_parts()
 
-    def _shrinks(self, before: Struct | None, result: Result) -> bool:
+    def _shrinks(self, before: Struct | None, result: EditResult) -> bool:
         """Does an edit make a record smaller that is too large as it is?
 
         It must not get lost: the task that it says has ended would stay for ever.
@@ -226,34 +235,35 @@
         return (
             isinstance(before, JobRecord)
             and isinstance(result, JobRecord)
-            and codec.size(codec.dump(result)) <= codec.size(codec.dump(before))
+            and codec.json_size_bytes(codec.encode_record(result))
+            <= codec.json_size_bytes(codec.encode_record(before))
         )
 
-    def next_batch(self, now: Moment) -> Batch | None:
+    def next_batch(self, now: MonotonicTime) -> Batch | None:
         """The next transaction, or None if nothing can go now."""
         if now < self.pause_until or not self.waiting:
             return None
         ready = [k for k in self.waiting if k not in self.flying and k not in self.stale]
         if not ready:
             return None
-        bulk = int(self.budget.fill(now))
-        urgent = max(bulk, int(self.first.fill(now)))
+        bulk = int(self.budget.refill(now))
+        urgent = max(bulk, int(self.first.refill(now)))
         if urgent < 1:
             return None  # before a long backlog is sorted for nothing
-        ranks = {k: min(e.rank for e in self.waiting[k]) for k in ready}
+        ranks = {k: min(e.priority for e in self.waiting[k]) for k in ready}
         ready.sort(key=ranks.__getitem__)
         draft = Draft(self.view, self.limits)
         for key in ready:
-            room = urgent if ranks[key] == FIRST else bulk
+            room = urgent if ranks[key] == HIGH_PRIORITY else bulk
             if not draft.has_room(room):
                 break
             if draft.goes_with(self.waiting[key]) and not self._add(draft, key):
                 break
         if not draft.writes:
             return None
-        first = sum(1 for key in draft.results if ranks[key] == FIRST)
-        self.first.take(now, min(first, self.first.level))
-        self.budget.take(now, len(draft.writes) - min(first, len(draft.writes)))
+        first = sum(1 for key in draft.results if ranks[key] == HIGH_PRIORITY)
+        self.first.spend(now, min(first, self.first.available))
+        self.budget.spend(now, len(draft.writes) - min(first, len(draft.writes)))
         self.flying.update(draft.results)
         return draft.batch()
 
@@ -262,7 +272,7 @@
         edits, result = self._build(key, self.waiting.pop(key))
         if result is None:
             return True
-        change = draft.change_of(key, result, edits[-1].permit)
+        change = draft.change_of(key, result, edits[-1].lease_id)
         if draft.takes(change):
             draft.add(key, edits, result, change)
             return True
@@ -273,9 +283,9 @@
         """The transaction was carried out at this revision."""
         for key, result in batch.results.items():
             self.flying.discard(key)
-            if isinstance(result, (Remove, End)):
+            if isinstance(result, (DeleteKey, ArchiveEnding)):
                 self.view.drop(key, ledger)
-                if isinstance(result, End):
+                if isinstance(result, ArchiveEnding):
                     self.view.remember(key, result.ending)
             elif ledger > self.view.stamp(key):
                 self.view.keep(key, result, ledger, batch.parts.get(key, 0))
@@ -284,20 +294,20 @@
 
     def conflicted(self, batch: Batch, failed: list[str]) -> None:
         """Nothing was carried out: read the failed keys again, then try the edits again."""
-        self.stale.update(k.replace(records.ENDINGS, records.JOBS, 1) for k in failed)
+        self.stale.update(k.replace(records.ENDING_PREFIX, records.JOB_PREFIX, 1) for k in failed)
         for edit in batch.edits:
-            edit.conflicts += 1
+            edit.conflict_count += 1
         self._again(batch)
 
-    def refused(self, batch: Batch, now: Moment, pause: float) -> None:
+    def refused(self, batch: Batch, now: MonotonicTime, pause: float) -> None:
         """Nothing was carried out (429, 503): the same again after a pause."""
-        self.pause_until = Moment(now + pause)
+        self.pause_until = MonotonicTime(now + pause)
         self._again(batch)
 
-    def unknown(self, batch: Batch, now: Moment, pause: float) -> None:
+    def unknown(self, batch: Batch, now: MonotonicTime, pause: float) -> None:
         """No answer: it may have been carried out, or may yet be; read again first."""
         self.stale.update(batch.results)
-        self.pause_until = Moment(now + pause)
+        self.pause_until = MonotonicTime(now + pause)
         self._again(batch)
 
     def slower(self) -> None:
@@ -308,10 +318,12 @@
         if self.view.level:
             self._lower(rate=True)
 
-    def _beyond(self, batch: Batch, limits: Limits) -> bool:
+    def _beyond(self, batch: Batch, limits: StateServiceLimits) -> bool:
         """Would this transaction be too much under these limits?"""
         return batch.writes > limits.txn_ops or any(
-            codec.size(op["Value"]) > limits.value for op in batch.body["Then"] if "Value" in op
+            codec.json_size_bytes(op["Value"]) > limits.value_bytes
+            for op in batch.body["Then"]
+            if "Value" in op
         )
 
     def lease_gone(self, batch: Batch) -> None:
@@ -321,9 +333,9 @@
         its node joined was answered 400, which its user takes for the last word.
         """
         for edit in batch.edits:
-            if edit.permit is not None:
+            if edit.lease_id is not None:
                 self._settle(edit, False, "refused")
-        rest = [edit for edit in batch.edits if edit.permit is None]
+        rest = [edit for edit in batch.edits if edit.lease_id is None]
         self._again(batch._replace(edits=rest))
 
     def invalid(self, batch: Batch) -> None:
@@ -348,8 +360,8 @@
         for key in batch.results:
             self.flying.discard(key)
         for edit in reversed(batch.edits):
-            edit.tries += 1
-            if edit.conflicts > MOST_CONFLICTS or edit.tries > MOST_TRIES:
+            edit.try_count += 1
+            if edit.conflict_count > MOST_CONFLICTS or edit.try_count > MOST_TRIES:
                 self._settle(edit, False, "conflicts")
             else:
                 self.waiting.setdefault(edit.key, []).insert(0, edit)
--- a/coursefold/storage/share_records.py
+++ b/coursefold/storage/share_records.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta, Struct
 
-Revision = Annotated[int, Meta(ge=0)]
+UInt64 = Annotated[int, Meta(ge=0)]
 
 
 class MoveStage(IntEnum):
@@ -30,17 +30,17 @@
 class MachineOwnership(Struct, array_like=True, frozen=True):
     """Who owns a machine, and the move under way, or the last one."""
 
-    epoch: Revision  # of the move; rises with each and is never used again
+    epoch: UInt64  # of the move; rises with each and is never used again
     stage: MoveStage
     owner: str = ""  # set by the last handover; empty: by hash
-    incarnation: Revision = 0  # the lease of that owner's process; the assignment ends with it
-    token: Revision = 0  # the fencing token of the last handover
+    incarnation: UInt64 = 0  # the lease of that owner's process; the assignment ends with it
+    token: UInt64 = 0  # the fencing token of the last handover
     source: str = ""
     target: str = ""
-    roster: Revision = 0  # the roster under which the move was requested
+    roster_token: UInt64 = 0  # the roster under which the move was requested
     mode: MoveMode = MoveMode.FINISH
-    at: float = 0.0  # when the stage began, time of day
-    until: float = 0.0  # the move is withdrawn after this, time of day
+    stage_started_at: float = 0.0  # when the stage began, time of day
+    expires_at: float = 0.0  # the move is withdrawn after this, time of day
     why: str = ""  # why it was requested, or withdrawn
 
 
@@ -49,12 +49,12 @@
 
     source: str
     target: str
-    build: str
+    machine_type: str
     zone: str  # empty: all zones
-    count: Revision
-    source_count: Revision  # machines that the source is to have
-    target_count: Revision
+    count: UInt64
+    source_count: UInt64  # machines that the source is to have
+    target_count: UInt64
     mode: MoveMode
-    at: float
-    until: float  # in force until this time of day
+    requested_at: float
+    expires_at: float  # in force until this time of day
     withdrawn: bool = False
--- a/coursefold/storage/spreading.py
+++ b/coursefold/storage/spreading.py
@@ -13,8 +13,8 @@
 from msgspec import Struct
 
 from coursefold.protocol.ids import Key
-from coursefold.storage.codec import size
-from coursefold.storage.records import PARTS, ROOT
+from coursefold.storage.codec import json_size_bytes
+from coursefold.storage.records import PART_PREFIX, ROOT
 
 
 class Spread(NamedTuple):
@@ -43,7 +43,7 @@
     transaction, so that they carry the same Stamp, which is how a reader knows that they
     belong together.
     """
-    if size(value) <= limit:
+    if json_size_bytes(value) <= limit:
         return Spread(value, [])
     text = base64.b64encode(zlib.compress(msgspec.msgpack.encode(value), 6)).decode()
     room = limit - FRAME
@@ -75,14 +75,14 @@
 
 def part_key(key: str, number: int) -> Key:
     """The key of a record's part, counted from 1."""
-    return Key(f"{PARTS}{key.removeprefix(ROOT)}/{number}")
+    return Key(f"{PART_PREFIX}{key.removeprefix(ROOT)}/{number}")
 
 
 def parts_prefix(key: str) -> str:
     """What the keys of all parts of a record begin with."""
-    return f"{PARTS}{key.removeprefix(ROOT)}/"
+    return f"{PART_PREFIX}{key.removeprefix(ROOT)}/"
 
 
 def head_key(part: str) -> Key:
     """The record that a part belongs to."""
-    return Key(ROOT + part.removeprefix(PARTS).rpartition("/")[0])
+    return Key(ROOT + part.removeprefix(PART_PREFIX).rpartition("/")[0])
--- a/coursefold/storage/view.py
+++ b/coursefold/storage/view.py
@@ -10,20 +10,20 @@
 import msgspec
 from msgspec import Struct
 
-from coursefold.protocol.ids import JobId, Stamp
-from coursefold.protocol.wire import RANKS, Catalog, Job
+from coursefold.protocol.ids import JobId, KeyVersion
+from coursefold.protocol.wire import PRIORITY_ORDER, Catalog, Job
 from coursefold.storage import codec, records, spreading
 from coursefold.storage.cell_records import CellLink
 from coursefold.storage.needs import Needs
 from coursefold.storage.records import (
     Ending,
-    Entry,
+    FormatLevel,
     JobRecord,
-    Level,
     MemberRecord,
+    MemberVersion,
     PoolRecord,
     Roster,
-    Version,
+    TaskEntry,
 )
 from coursefold.storage.share_records import MachineOwnership, MoveStage, ShareRequest
 
@@ -37,7 +37,7 @@
     """A record and the revision of its last change."""
 
     record: Struct
-    stamp: Stamp
+    stamp: KeyVersion
 
 
 class Load:
@@ -49,15 +49,15 @@
         self.specs = specs
         self.cpus = sum(s.cpus for s in specs)
         self.gpus = sum(s.gpus for s in specs)
-        self.memory = sum(s.memory for s in specs)
+        self.memory = sum(s.memory_gb for s in specs)
         self.images = {s.image: s.image_gb for s in specs}
-        self.lowest = max((RANKS[s.rank] for s in specs), default=-1)
+        self.lowest = max((PRIORITY_ORDER[s.priority] for s in specs), default=-1)
         # Replicas end only when their user says so.
-        lasting = [s for s in specs if s.shape == "standing"]
+        lasting = [s for s in specs if s.kind == "standing"]
         self.lasting = (
             sum(s.cpus for s in lasting),
             sum(s.gpus for s in lasting),
-            sum(s.memory for s in lasting),
+            sum(s.memory_gb for s in lasting),
         )
 
 
@@ -82,7 +82,7 @@
         self.catalog: Catalog | None = None
         self.level = 0  # the forms that all controllers read
         self.given_up: list[str] = []  # but for these, if they come back
-        self.versions: dict[str, Version] = {}
+        self.versions: dict[str, MemberVersion] = {}
         self.links: dict[str, CellLink] = {}  # by the other cell's name
         self.away: dict[JobId, JobRecord] = {}  # our jobs that other cells have
         self.guests: dict[JobId, JobRecord] = {}  # other cells' jobs here
@@ -100,13 +100,13 @@
         # Indices, kept up to date by the difference of each change: at hundreds of
         # machines, building them anew cost more than all decisions together.
         self.waiting: dict[JobId, JobRecord] = {}
-        self.dealt: dict[str, dict[tuple[JobId, int], Entry]] = {}
+        self.dealt: dict[str, dict[tuple[JobId, int], TaskEntry]] = {}
         self.usage: dict[str, list[float]] = {}
         self.cancelled: dict[JobId, None] = {}  # those that still have tasks
         self.moved: dict[str, None] = {}  # machines, in order
-        self._places: dict[str, dict[tuple[JobId, int], Entry]] = {}
+        self._places: dict[str, dict[tuple[JobId, int], TaskEntry]] = {}
         self._loads: dict[str, Load] = {}
-        self._entries: dict[tuple[JobId, int], Entry] = {}
+        self._entries: dict[tuple[JobId, int], TaskEntry] = {}
 
     def stamp(self, key: str) -> int:
         """The revision of a key's record; 0 if there is none."""
@@ -115,9 +115,9 @@
 
     def put(self, key: str, value: Any, stamp: int) -> bool:
         """Take a key's value; False if it was known or is overtaken."""
-        if key.startswith(records.ENDINGS):
+        if key.startswith(records.ENDING_PREFIX):
             return self._put_ending(key, value)
-        if key.startswith(records.PARTS):
+        if key.startswith(records.PART_PREFIX):
             return self._put_part(key, value, stamp)
         if stamp <= self.stamp(key) or stamp <= self.gone.get(key, 0):
             return False
@@ -130,7 +130,7 @@
                     self._heads[key] = (value, stamp)
                     return False
                 value, count = spreading.join(texts), head.parts
-            record = codec.parse(key, value)
+            record = codec.decode_record(key, value)
         except (msgspec.ValidationError, TypeError, ValueError) as wrong:
             log.error("record %s is not readable: %s", key, wrong)
             self.unreadable.add(key)
@@ -173,7 +173,7 @@
 
     def _put_ending(self, key: str, value: Any) -> bool:
         try:
-            record = codec.parse(key, value)
+            record = codec.decode_record(key, value)
         except (msgspec.ValidationError, TypeError) as wrong:
             log.error("record %s is not readable: %s", key, wrong)
             return False
@@ -188,7 +188,7 @@
         self.endings[name] = ending
         while len(self.endings) > ENDINGS:
             del self.endings[next(iter(self.endings))]
-        self._revive(self.needs.ended(name, ending.status, ending.at))
+        self._revive(self.needs.ended(name, ending.status, ending.ended_at))
 
     def _revive(self, changed: list[JobId]) -> None:
         """Jobs that what they need has set free, or cancelled with it."""
@@ -207,7 +207,7 @@
 
     def since(self, name: JobId, job: JobRecord) -> float:
         """The moment from which all but the deadline counts, written yet or not."""
-        return job.ready or self.needs.ready.get(name) or job.at
+        return job.ready_at or self.needs.ready.get(name) or job.accepted_at
 
     def fate(self, name: JobId) -> int | None:
         """What is known of a job as one that others need; None: not among what we hold."""
@@ -223,7 +223,7 @@
 
     def keep(self, key: str, record: Struct, stamp: int, parts: int = 0) -> None:
         """Take a record that is known to be the newest, and how many parts it has."""
-        self.held[key] = Held(record, Stamp(stamp))
+        self.held[key] = Held(record, KeyVersion(stamp))
         self.unreadable.discard(key)
         self._heads.pop(key, None)
         if parts:
@@ -233,20 +233,20 @@
         if isinstance(record, JobRecord | Ending):
             self._keep_job(key, record)
         elif isinstance(record, MachineOwnership):
-            self._index_ownership(key.removeprefix(records.OWNERSHIPS), record)
+            self._index_ownership(key.removeprefix(records.OWNERSHIP_PREFIX), record)
         elif isinstance(record, MemberRecord):
             self.members[record.name] = record
         elif isinstance(record, PoolRecord):
-            self.pools[key.removeprefix(records.POOLS)] = record
+            self.pools[key.removeprefix(records.POOL_PREFIX)] = record
         elif isinstance(record, CellLink):
-            self.links[key.removeprefix(records.CELL_LINKS)] = record
+            self.links[key.removeprefix(records.CELL_LINK_PREFIX)] = record
         elif isinstance(record, ShareRequest):
-            self.share_requests[key.removeprefix(records.SHARE_REQUESTS)] = record
+            self.share_requests[key.removeprefix(records.SHARE_REQUEST_PREFIX)] = record
         else:
             self._keep_common(key, record, stamp)
 
     def _keep_job(self, key: str, record: JobRecord | Ending) -> None:
-        name = JobId(key.removeprefix(records.JOBS))
+        name = JobId(key.removeprefix(records.JOB_PREFIX))
         before = self.jobs.get(name)
         if isinstance(record, JobRecord):
             self.jobs[name] = record
@@ -262,13 +262,13 @@
         if isinstance(record, Roster):
             self.roster, self.token = record, stamp
         elif isinstance(record, Catalog):
-            if key == records.TYPES or records.TYPES not in self.held:
+            if key == records.MACHINE_TYPES_KEY or records.MACHINE_TYPES_KEY not in self.held:
                 self.catalog = record
-        elif isinstance(record, Level):
+        elif isinstance(record, FormatLevel):
             self.level = max(self.level, record.level)
-            self.given_up = record.given_up
-        elif isinstance(record, Version):
-            self.versions[key.removeprefix(records.VERSIONS)] = record
+            self.given_up = record.ignored_members
+        elif isinstance(record, MemberVersion):
+            self.versions[key.removeprefix(records.VERSION_PREFIX)] = record
 
     def _index(self, name: JobId, before: JobRecord | None, after: JobRecord | None) -> None:
         """Bring the indices from one state of a job to the next."""
@@ -279,10 +279,14 @@
         self._count_use(before, after)
 
     def _index_needs(self, name: JobId, before: JobRecord | None, after: JobRecord | None) -> None:
-        if after is not None and after.needs and after.status == records.LIVE:
-            if before is None or before.needs != after.needs:
-                self._revive(self.needs.add(name, after.needs, self._how(after.needs)))
-        elif before is not None and before.needs:
+        if after is not None and after.open_prerequisites and after.status == records.LIVE:
+            if before is None or before.open_prerequisites != after.open_prerequisites:
+                self._revive(
+                    self.needs.add(
+                        name, after.open_prerequisites, self._how(after.open_prerequisites)
+                    )
+                )
+        elif before is not None and before.open_prerequisites:
             self.needs.remove(name)
 
     def _index_status(self, name: JobId, job: JobRecord | None) -> None:
@@ -320,7 +324,7 @@
     def _count_use(self, before: JobRecord | None, after: JobRecord | None) -> None:
         """What the job takes of its team's limit."""
         known = after or before
-        more = (after.counted_tasks if after else 0) - (before.counted_tasks if before else 0)
+        more = (after.quota_task_count if after else 0) - (before.quota_task_count if before else 0)
         if known is not None and more:
             used = self.usage.setdefault(known.spec.team, [0.0, 0.0])
             used[0] += known.spec.cpus * more
@@ -339,7 +343,7 @@
 
     def _index_cells(self, name: JobId, job: JobRecord | None) -> None:
         """Is the job away, or another cell's?"""
-        if job is not None and job.is_away:
+        if job is not None and job.is_delegated:
             self.away[name] = job
         else:
             self.away.pop(name, None)
@@ -356,26 +360,26 @@
             if fate:
                 held = self.held.get(records.job_key(need))
                 ending = held.record if held else self.endings.get(need)
-                found[need] = (fate, ending.at if isinstance(ending, Ending) else 0.0)
+                found[need] = (fate, ending.ended_at if isinstance(ending, Ending) else 0.0)
         return found
 
     def unresolved(self) -> list[JobId]:
         """Jobs that others need of which we hold nothing: they ended, and have moved."""
         return [need for need in self.needs.open if self.fate(need) is None]
 
-    def _place(self, name: JobId, entry: Entry) -> None:
+    def _place(self, name: JobId, entry: TaskEntry) -> None:
         key = (name, entry.index)
         self._places.setdefault(entry.machine, {})[key] = entry
         self._entries[key] = entry
         self._touch(entry.machine)
-        if entry.stage == records.DEALT:
+        if entry.stage == records.ASSIGNED:
             self.dealt.setdefault(entry.owner, {})[key] = entry
 
     def _touch(self, machine: str) -> None:
         self.moved[machine] = None
         self._loads.pop(machine, None)
 
-    def _unplace(self, name: JobId, entry: Entry) -> None:
+    def _unplace(self, name: JobId, entry: TaskEntry) -> None:
         key = (name, entry.index)
         if self._entries.get(key) == entry:
             del self._entries[key]
@@ -385,14 +389,14 @@
             if not there:
                 del self._places[entry.machine]
         self._touch(entry.machine)
-        if entry.stage == records.DEALT:
+        if entry.stage == records.ASSIGNED:
             dealt = self.dealt.get(entry.owner, {})
             if dealt.get(key) == entry:
                 del dealt[key]
 
     def drop(self, key: str, stamp: int) -> bool:
         """Take a removal; False if it is overtaken."""
-        if key.startswith(records.PARTS):
+        if key.startswith(records.PART_PREFIX):
             if stamp >= self._parts.get(key, ("", stamp + 1))[1]:
                 del self._parts[key]
             return False
@@ -402,10 +406,10 @@
         self.spread.pop(key, None)
         if key in self._heads and self._heads[key][1] <= stamp:
             del self._heads[key]
-        if key.startswith((records.JOBS, records.MEMBERS, records.OWNERSHIPS)):
+        if key.startswith((records.JOB_PREFIX, records.MEMBER_PREFIX, records.OWNERSHIP_PREFIX)):
             self._remember_removal(key, stamp)
         known = self.held.pop(key, None)
-        self.unswept.pop(JobId(key.removeprefix(records.JOBS)), None)
+        self.unswept.pop(JobId(key.removeprefix(records.JOB_PREFIX)), None)
         if known is None:
             return False
         self._drop_record(key, known.record)
@@ -421,23 +425,23 @@
     def _drop_record(self, key: str, record: Struct) -> None:
         """Take a removed record out of the indices."""
         if isinstance(record, JobRecord):
-            name = JobId(key.removeprefix(records.JOBS))
+            name = JobId(key.removeprefix(records.JOB_PREFIX))
             self.jobs.pop(name, None)
             self._index(name, record, None)
         elif isinstance(record, MemberRecord):
             self.members.pop(record.name, None)
         elif isinstance(record, PoolRecord):
-            self.pools.pop(key.removeprefix(records.POOLS), None)
-        elif isinstance(record, Version):
-            self.versions.pop(key.removeprefix(records.VERSIONS), None)
+            self.pools.pop(key.removeprefix(records.POOL_PREFIX), None)
+        elif isinstance(record, MemberVersion):
+            self.versions.pop(key.removeprefix(records.VERSION_PREFIX), None)
         elif isinstance(record, CellLink):
-            self.links.pop(key.removeprefix(records.CELL_LINKS), None)
+            self.links.pop(key.removeprefix(records.CELL_LINK_PREFIX), None)
         elif isinstance(record, MachineOwnership):
-            self._index_ownership(key.removeprefix(records.OWNERSHIPS), None)
+            self._index_ownership(key.removeprefix(records.OWNERSHIP_PREFIX), None)
         elif isinstance(record, ShareRequest):
-            self.share_requests.pop(key.removeprefix(records.SHARE_REQUESTS), None)
+            self.share_requests.pop(key.removeprefix(records.SHARE_REQUEST_PREFIX), None)
 
-    def on_machine(self, machine: str) -> list[tuple[JobId, Entry]]:
+    def on_machine(self, machine: str) -> list[tuple[JobId, TaskEntry]]:
         """Entries whose place (or, while dealt, hint) is this machine."""
         there = self._places.get(machine)
         return [(name, entry) for (name, _), entry in there.items()] if there else []
@@ -460,7 +464,7 @@
             found = self._loads[machine] = Load([self.jobs[name].spec for name, _ in there])
         return found
 
-    def entry(self, name: JobId, index: int) -> Entry | None:
+    def entry(self, name: JobId, index: int) -> TaskEntry | None:
         """A task's entry."""
         return self._entries.get((name, index))
 
--- a/coursefold/transport/state.py
+++ b/coursefold/transport/state.py
@@ -6,19 +6,19 @@
 from typing import Any, NamedTuple
 from urllib.parse import urlencode
 
-from coursefold.protocol.ids import Moment
+from coursefold.protocol.ids import MonotonicTime
 from coursefold.protocol.wire import (
+    CommitResult,
     Conflict,
     KeyRow,
     KeyRows,
     Lease,
-    Ledger,
     MalformedError,
-    News,
+    WatchResponse,
     decode,
     encode,
 )
-from coursefold.storage.limits import Budget
+from coursefold.storage.limits import TokenBucket
 from coursefold.transport.http_client import HttpClient, NoAnswerError
 
 log = logging.getLogger(__name__)
@@ -53,15 +53,15 @@
         address: str,
         rps: float,
         nodes: int,
-        clock: Callable[[], Moment],
-        heard: Callable[[Moment], None],
+        clock: Callable[[], MonotonicTime],
+        heard: Callable[[MonotonicTime], None],
     ) -> None:
         self.http = HttpClient(address, connections=8)
         self.watch = HttpClient(address, connections=1)
         self.clock, self.heard = clock, heard
         # For users' reads of jobs that ended long ago, or are unknown. A part of their own:
         # a leader that writes a lot would otherwise refuse the same job's polls for ever.
-        self.reads = Budget(rps * 0.2 / nodes, max(2.0, rps * 0.4 / nodes))
+        self.reads = TokenBucket(rps * 0.2 / nodes, max(2.0, rps * 0.4 / nodes))
 
     async def _ask(
         self, method: str, path: str, body: Any = None, timeout: float = REQUEST_S,
@@ -80,9 +80,9 @@
 
     def room(self) -> bool:
         """Room for one user's read? It is taken."""
-        if self.reads.fill(self.clock()) < 1.0:
+        if self.reads.refill(self.clock()) < 1.0:
             return False
-        self.reads.take(self.clock(), 1.0)
+        self.reads.spend(self.clock(), 1.0)
         return True
 
     async def grant(self, life_ms: int) -> int:
@@ -90,7 +90,7 @@
         status, answer = await self._ask("POST", "/leases", {"LifeMs": life_ms})
         if status != 200:
             raise UnavailableError(f"lease: {status}", status)
-        return int(self._decode(answer, Lease).permit)
+        return int(self._decode(answer, Lease).lease_id)
 
     async def touch(self, permit: int) -> bool:
         """True if the lease lives; False if it has ended."""
@@ -114,13 +114,13 @@
             if status != 200:
                 raise UnavailableError(f"keys: {status}", status)
             page = self._decode(answer, KeyRows)
-            first = first or page.ledger
+            first = first or page.revision
             found.extend(page.rows)
-            if not page.more or not page.rows:
+            if not page.has_more or not page.rows:
                 return found, first
             after = page.rows[-1].key
 
-    async def follow(self, prefix: str, since: int, wait_ms: int) -> News | None:
+    async def follow(self, prefix: str, since: int, wait_ms: int) -> WatchResponse | None:
         """Changes after a revision; None if it is too old.
 
         A follow that waits has a connection of its own. One that does not must not
@@ -129,16 +129,16 @@
         query = urlencode({"Prefix": prefix, "From": since, "WaitMs": wait_ms}, safe="/")
         client, timeout = (self.watch, wait_ms / 1000 + 2.0) if wait_ms else (None, REQUEST_S)
         status, answer = await self._ask("GET", "/follow?" + query, None, timeout, client)
-        return self._decode(answer, News) if status == 200 else None
+        return self._decode(answer, WatchResponse) if status == 200 else None
 
     async def commit(self, body: dict[str, Any]) -> Outcome:
         """One transaction."""
         status, answer = await self._ask("POST", "/commit", body)
         if status == 200:
-            return Outcome(True, self._decode(answer, Ledger).ledger, [])
+            return Outcome(True, self._decode(answer, CommitResult).revision, [])
         if status == 409:
             conflict = self._decode(answer, Conflict)
-            return Outcome(False, conflict.ledger, conflict.failed)
+            return Outcome(False, conflict.revision, conflict.failed)
         log.error("commit refused: %d %r", status, answer[:200])
         return Outcome(False, 0, [], malformed=True, no_lease=b"lease" in answer)
 
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -14,7 +14,7 @@
 from coursefold.cells.config import CellsConfig, CellsFile
 from coursefold.settings import Settings
 from coursefold.storage import codec, records
-from coursefold.storage.cell_records import AwayStage, GuestStage
+from coursefold.storage.cell_records import DelegationStage, GuestStage
 from coursefold.storage.records import JobRecord
 from tests.fleet import Fleet, Node
 from tests.world import SETTINGS
@@ -92,22 +92,29 @@
 
     def records(self) -> dict[str, JobRecord]:
         """The job records as the state service has them."""
-        rows = self.store.rows(records.JOBS)
+        rows = self.store.rows(records.JOB_PREFIX)
         parsed = {
-            row["K"].removeprefix(records.JOBS): codec.parse(row["K"], row["Value"]) for row in rows
+            row["K"].removeprefix(records.JOB_PREFIX): codec.decode_record(row["K"], row["Value"])
+            for row in rows
         }
         return {name: record for name, record in parsed.items() if isinstance(record, JobRecord)}
 
-    def stages_away(self) -> dict[str, AwayStage]:
+    def stages_away(self) -> dict[str, DelegationStage]:
         """Our jobs in other cells, and how far they have come."""
         return {
-            name: job.away.stage for name, job in self.records().items() if job.is_away and job.away
+            name: job.delegation.stage
+            for name, job in self.records().items()
+            if job.is_delegated and job.delegation
         }
 
     def away_at(self, cell: str) -> set[str]:
         """Our jobs in one other cell."""
         found = self.records().items()
-        return {name for name, job in found if job.is_away and job.away and job.away.cell == cell}
+        return {
+            name
+            for name, job in found
+            if job.is_delegated and job.delegation and job.delegation.guest_cell == cell
+        }
 
     def guests(self) -> dict[str, GuestStage]:
         """Other cells' jobs here."""
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -14,7 +14,7 @@
 
 from coursefold.coordination.core import Core
 from coursefold.coordination.effects import Answer, CloudCall, Direct
-from coursefold.protocol.wire import Order, encode
+from coursefold.protocol.wire import Command, encode
 from coursefold.storage import records
 from tests.fleet_jobs import RuleBrokenError, Task, UserJob
 from tests.fleet_node import ZONES, Node
@@ -53,7 +53,7 @@
         self.params = SETTINGS["params"] | params
         self.timing: dict[str, float] = self.params["workers"]
         self.store = StateStore()
-        self.store.set(records.CATALOG, msgspec.to_builtins(self._catalog()))
+        self.store.set(records.CATALOG_KEY, msgspec.to_builtins(self._catalog()))
         self.outage_until = self.cloud_down_until = self.peers_refused_until = 0.0
         self.resumed_at = 0.0  # the end of the last outage after which leases were given their time
         self.lost_commits = self.copied = 0.0
@@ -379,7 +379,7 @@
                 lambda: True,
             )
 
-    def stopped(self, order: Order) -> None:
+    def stopped(self, order: Command) -> None:
         """A live task was told to stop."""
 
     def told_to_run(self, job: UserJob) -> None:
--- a/tests/fleet_node.py
+++ b/tests/fleet_node.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from coursefold.coordination.effects import Answer, Read
-from coursefold.protocol.ids import JobId, Moment, WallTime
+from coursefold.protocol.ids import JobId, MonotonicTime, WallTime
 from coursefold.protocol.wire import encode
 from coursefold.storage import records
 from coursefold.storage.batches import Batch
@@ -84,7 +84,7 @@
 
     def enter(self) -> Any:
         now = self.world.now
-        self.core.at(Moment(1000.0 + now), WallTime(EPOCH + now + self.skew))
+        self.core.at(MonotonicTime(1000.0 + now), WallTime(EPOCH + now + self.skew))
         return self.core
 
     def state_up(self) -> bool:
@@ -101,8 +101,8 @@
         ctx = core.ctx
         if not ctx.permit or not store.touch(now, ctx.permit):
             ctx.permit = store.grant(now, LIFE_MS)
-        ctx.lease_until = Moment(1000.0 + now + LIFE_MS / 1000.0)
-        ctx.state_ok_at = Moment(1000.0 + now)
+        ctx.lease_until = MonotonicTime(1000.0 + now + LIFE_MS / 1000.0)
+        ctx.state_ok_at = MonotonicTime(1000.0 + now)
 
     def _follow(self) -> None:
         if not self.state_up():
@@ -119,7 +119,7 @@
                 else:
                     view.drop(item["Remove"], item["Stamp"])
         self.followed = view.ledger = store.ledger
-        core.ctx.follow_ok_at = core.ctx.state_ok_at = Moment(1000.0 + self.world.now)
+        core.ctx.follow_ok_at = core.ctx.state_ok_at = MonotonicTime(1000.0 + self.world.now)
 
     def _tick(self) -> None:
         self.enter().tick()
@@ -163,18 +163,18 @@
             return
         key = records.ending_key(JobId(read.job))
         row = self.world.store.row(key)
-        record = self.version.codec.parse(key, row["Value"]) if row else None
+        record = self.version.codec.decode_record(key, row["Value"]) if row else None
         found = record if isinstance(record, self.version.records.Ending) else None
         self.core.read(read.ticket, found)
 
     def _commit(self) -> None:
         world, queue = self.world, self.core.queue
-        now = Moment(1000.0 + world.now)
+        now = MonotonicTime(1000.0 + world.now)
         if queue.stale and self.state_up():
             self._follow()
             for key in queue.stale_keys():
-                ended = world.store.row(key.replace(records.JOBS, records.ENDINGS))
-                if key.startswith(records.JOBS) and key not in world.store.keys and ended:
+                ended = world.store.row(key.replace(records.JOB_PREFIX, records.ENDING_PREFIX))
+                if key.startswith(records.JOB_PREFIX) and key not in world.store.keys and ended:
                     queue.over(key)
                 queue.refreshed(key)
         while self.flying < 3:
@@ -214,7 +214,7 @@
             if self.life == life and not self.stands(unanswered):
                 self.enter()
                 self.flying -= 1
-                queue.unknown(batch, Moment(1000.0 + world.now), 0.3)
+                queue.unknown(batch, MonotonicTime(1000.0 + world.now), 0.3)
 
         world.after(delay, land)
         if lost:
@@ -222,7 +222,7 @@
 
     def _take_outcome(self, batch: Batch, status: int, body: Any) -> None:
         queue, ctx = self.core.queue, self.core.ctx
-        ctx.state_ok_at = Moment(1000.0 + self.world.now)
+        ctx.state_ok_at = MonotonicTime(1000.0 + self.world.now)
         no_lease = b"lease" in encode(body)
         if status == 200:
             queue.applied(batch, body["Ledger"])
--- a/tests/fleet_worker.py
+++ b/tests/fleet_worker.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from coursefold.coordination.effects import Answer
-from coursefold.protocol.wire import Order, encode
+from coursefold.protocol.wire import Command, encode
 from tests.fleet_jobs import RuleBrokenError, Task
 
 if TYPE_CHECKING:
@@ -109,7 +109,7 @@
                 self.world.leaves(self, task)
             self.tasks.clear()
 
-    def execute(self, orders: list[Order]) -> None:
+    def execute(self, orders: list[Command]) -> None:
         world = self.world
         for order in orders:
             task = self.tasks.get(order.task)
--- a/tests/measure_shares.py
+++ b/tests/measure_shares.py
@@ -12,7 +12,7 @@
 
 from coursefold.histograms import new_histogram, record_seconds, summarize
 from coursefold.storage import records
-from coursefold.storage.codec import size
+from coursefold.storage.codec import json_size_bytes
 from tests.measure_size import CLOUD, STATE, TIMING
 from tests.shares_world import SharesFleet
 from tests.world import EPOCH
@@ -96,7 +96,7 @@
     services = sum(fleet.jobs[n].size for n, kind in kinds.items() if kind == "service")
     moved = sum(fleet.handovers.values())
     rows = [n for n in fleet.store.news if (n.get("Set") or n["Remove"]).startswith("cf/s/")]
-    written = sum(size(row.get("Value")) for row in rows)
+    written = sum(json_size_bytes(row.get("Value")) for row in rows)
     title = f"seed {seed}, {move.name if move else 'no moves'}"
     per_move = f"{len(rows) / moved:.1f} changes, {written / moved:.0f} B a move" if moved else ""
     print(
@@ -152,7 +152,7 @@
     fleet.run(fleet.now + 30.0)
     writes = sum((n.get("Set") or n["Remove"]).startswith("cf/s/") for n in fleet.store.news)
     print(f"{writes} changes of ownership records, {len(fleet.on)} of {before} tasks still run")
-    assert fleet.led().core.view.level == records.WITH_SHARES
+    assert fleet.led().core.view.level == records.SHARES_LEVEL
 
 
 def main() -> None:
--- a/tests/production.py
+++ b/tests/production.py
@@ -47,6 +47,34 @@
     )
 
 
+# New names of attributes that tests use on both versions: module, class, new name, old name.
+ALIASES: dict[str, dict[str, dict[str, str]]] = {
+    "coordination.forward": {"Forwarding": {"receive_proposals": "proposals"}},
+}
+
+# The same for functions of modules: module, new name, old name.
+FUNCTION_ALIASES: dict[str, dict[str, str]] = {
+    "storage.records": {"decode_record": "parse", "encode_record": "dump"},
+}
+
+
+def _alias(old: str) -> property:
+    return property(lambda self: getattr(self, old), lambda self, to: setattr(self, old, to))
+
+
+def _add_aliases() -> None:
+    """Give production's classes the names that this version has for the same attributes."""
+    for module, classes in ALIASES.items():
+        for name, attributes in classes.items():
+            kind = getattr(importlib.import_module(f"{NAME}.{module}"), name)
+            for new, old in attributes.items():
+                setattr(kind, new, _alias(old))
+    for module, functions in FUNCTION_ALIASES.items():
+        source = importlib.import_module(f"{NAME}.{module}")
+        for new, old in functions.items():
+            setattr(source, new, getattr(source, old))
+
+
 KINDS = ("Answer", "CloudCall", "Direct", "Read", "Tell", "Vouch")
 OURS = _version("ours", "coursefold")
 
@@ -81,6 +109,7 @@
         sys.path.insert(0, str(folder))
         try:
             importlib.import_module(NAME)
+            _add_aliases()
             return _version("production", NAME)
         finally:
             sys.path.remove(str(folder))
--- a/tests/shares_world.py
+++ b/tests/shares_world.py
@@ -11,7 +11,7 @@
 
 from coursefold.coordination.effects import Answer
 from coursefold.coordination.parts import owner as hashed_owner
-from coursefold.protocol.wire import Order, encode
+from coursefold.protocol.wire import Command, encode
 from coursefold.settings import Settings
 from coursefold.shares.config import SharesConfig, SharesFile, check
 from coursefold.shares.shares import Shares
@@ -100,8 +100,8 @@
 
     def roster(self) -> tuple[Roster | None, int]:
         """The roster and its revision."""
-        row = self.store.row(str(records.ROSTER))
-        record = codec.parse(records.ROSTER, row["Value"]) if row else None
+        row = self.store.row(str(records.ROSTER_KEY))
+        record = codec.decode_record(records.ROSTER_KEY, row["Value"]) if row else None
         return (record, row["Stamp"]) if row and isinstance(record, Roster) else (None, 0)
 
     def members(self) -> list[str]:
@@ -112,10 +112,10 @@
     def ownership(self) -> dict[str, MachineOwnership]:
         """Records of machines that were moved."""
         found: dict[str, MachineOwnership] = {}
-        for row in self.store.rows(records.OWNERSHIPS):
-            record = codec.parse(row["K"], row["Value"])
+        for row in self.store.rows(records.OWNERSHIP_PREFIX):
+            record = codec.decode_record(row["K"], row["Value"])
             assert isinstance(record, MachineOwnership)
-            found[row["K"].removeprefix(records.OWNERSHIPS)] = record
+            found[row["K"].removeprefix(records.OWNERSHIP_PREFIX)] = record
         return found
 
     def owner_of(self, machine: str) -> str:
@@ -129,8 +129,8 @@
         record = ownership.get(machine)
         token = max(stamp, record.token) if record else stamp
         if record is not None and record.owner:
-            member = roster.member(record.owner)
-            if member is not None and member.permit == record.incarnation:
+            member = roster.find_member(record.owner)
+            if member is not None and member.lease_id == record.incarnation:
                 return record.owner, token
         return hashed_owner(machine, self.workers[machine].zone, roster) or "", token
 
@@ -230,7 +230,7 @@
         until = EPOCH + self.now + 3600.0
         return self.command("/shares/move", body | {"Until": until} | more)
 
-    def stopped(self, order: Order) -> None:
+    def stopped(self, order: Command) -> None:
         """A live task was told to stop."""
         self.stops[order.task.partition("/")[0]] += 1
 
--- a/tests/standins/servers.py
+++ b/tests/standins/servers.py
@@ -196,8 +196,8 @@
         """Users upload descriptions for the workers; here the record serves for that."""
         key = records.job_key(JobId(task.partition("/")[0]))
         row = self.store.row(key)
-        record = codec.parse(key, row["Value"]) if row else None
-        return isinstance(record, records.JobRecord) and record.spec.shape == "standing"
+        record = codec.decode_record(key, row["Value"]) if row else None
+        return isinstance(record, records.JobRecord) and record.spec.kind == "standing"
 
     def hire(self, body: dict[str, Any]) -> list[str]:
         if body["Hire"] not in self.hires:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -106,7 +106,7 @@
     world = World()
     world.join("n1", "b")
     world.run(2.0)
-    permit = world.core.view.members["n1"].permit
+    permit = world.core.view.members["n1"].lease_id
     world.submit("job-1")
     world.report("i-1", [])
     world.run(3.0)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from coursefold.storage.cell_records import AwayStage, GuestStage
+from coursefold.storage.cell_records import DelegationStage, GuestStage
 from tests.cells_world import NAMES, TIMING, CellFleet, CellsWorld
 
 GRANT_S = 12.0
@@ -100,9 +100,13 @@
 
 def test_a_cell_that_vanishes_before_it_answers_an_offer() -> None:
     world = overloaded()
-    offered = AwayStage.OFFERED
+    offered = DelegationStage.OFFERED
     world.run_until(lambda: offered in world["east"].stages_away().values(), 60.0)
-    targets = {j.away.cell for j in world["east"].records().values() if j.is_away and j.away}
+    targets = {
+        j.delegation.guest_cell
+        for j in world["east"].records().values()
+        if j.is_delegated and j.delegation
+    }
     for name in targets:
         assert not world[name].guests()
         world[name].vanish()
@@ -250,10 +254,10 @@
 def steps() -> list[tuple[str, Callable[[CellsWorld], bool]]]:
     """The steps of a handover at which a user may cancel."""
     return [
-        ("offered", lambda w: AwayStage.OFFERED in w["east"].stages_away().values()),
+        ("offered", lambda w: DelegationStage.OFFERED in w["east"].stages_away().values()),
         ("reserved", lambda w: guest_cell(w, GuestStage.RESERVED) is not None),
-        ("granted", lambda w: AwayStage.GRANTED in w["east"].stages_away().values()),
-        ("running", lambda w: AwayStage.RUNNING in w["east"].stages_away().values()),
+        ("granted", lambda w: DelegationStage.GRANTED in w["east"].stages_away().values()),
+        ("running", lambda w: DelegationStage.RUNNING in w["east"].stages_away().values()),
         ("finished", lambda w: guest_cell(w, GuestStage.FINISHED) is not None),
     ]
 
@@ -312,12 +316,12 @@
         assert waiting
         assert all(node.core.leader.reasons.get(name) for name in waiting)
         for record in fleet.records().values():
-            assert record.guest is None or record.away is None  # no guest is passed on
+            assert record.guest is None or record.delegation is None  # no guest is passed on
     epochs = [
-        record.away.epoch
+        record.delegation.epoch
         for fleet in world.fleets.values()
         for record in fleet.records().values()
-        if record.away
+        if record.delegation
     ]
     all_end(world)
     # In the first seconds all believe that they can still rent machines.
@@ -336,7 +340,7 @@
     most = 0
     for _ in range(200):
         world.run(world.now + 0.5)
-        offers = list(world["east"].stages_away().values()).count(AwayStage.OFFERED)
+        offers = list(world["east"].stages_away().values()).count(DelegationStage.OFFERED)
         most = max(most, offers)
     assert 1 <= most <= 8
     assert len(world["east"].stages_away()) < 30
@@ -355,7 +359,7 @@
         open_offers = [
             name
             for name, stage in world["north"].stages_away().items()
-            if stage == AwayStage.OFFERED
+            if stage == DelegationStage.OFFERED
         ]
         assert not (open_offers and set(world["north"].guests().values()) & {GuestStage.GRANTED})
     assert held > 20
@@ -438,7 +442,9 @@
     world = overloaded(teams_of={"north": other, "west": other})
     world.run(world.now + 30.0)
     assert world.count("refused") >= 1
-    whys = [record.away.why for record in world["east"].records().values() if record.away]
+    whys = [
+        record.delegation.why for record in world["east"].records().values() if record.delegation
+    ]
     assert any("team blue is not known here" in why for why in whys)
     assert not any(world[name].guests() for name in ("north", "west"))
     all_end(world)
--- a/tests/test_cells_input.py
+++ b/tests/test_cells_input.py
@@ -33,19 +33,19 @@
 from coursefold.coordination.grants import GrantClock
 from coursefold.histograms import read_summary
 from coursefold.protocol import cell_pb2
-from coursefold.protocol.ids import JobId, Moment, WallTime
+from coursefold.protocol.ids import JobId, MonotonicTime, WallTime
 from coursefold.protocol.wire import Catalog, Job, decode, encode
 from coursefold.settings import Settings, SettingsError, load, split_address
 from coursefold.storage import codec, records
 from coursefold.storage.cell_records import (
-    Away,
-    AwayStage,
     CellLink,
+    Delegation,
+    DelegationStage,
     Guest,
     GuestStage,
 )
-from coursefold.storage.edits import NotApplicableError, Remove
-from coursefold.storage.records import Ending, Entry, JobRecord
+from coursefold.storage.edits import DeleteKey, NotApplicableError
+from coursefold.storage.records import Ending, JobRecord, TaskEntry
 from coursefold.storage.view import View
 from coursefold.transport.cells import CellTransport
 from tests.cells_world import cells_file
@@ -53,7 +53,7 @@
 from tests.test_settings import GOOD
 from tests.world import CATALOG, EPOCH, JOB, SETTINGS, World
 
-KIND = decode(encode(CATALOG), Catalog).builds[0]
+KIND = decode(encode(CATALOG), Catalog).machine_types[0]
 NAME = JobId("job-1")
 HANDLE = Handle(NAME, 1, "9-1")
 
@@ -172,7 +172,7 @@
 
 def test_a_frame_is_read_as_it_was_written() -> None:
     read = read_frame(dump_frame(full_frame()))
-    kept = msgspec.structs.replace(KIND, price=0.0, spot_price=0.0, cache_gb=0.0)
+    kept = msgspec.structs.replace(KIND, price_per_hour=0.0, spot_price_per_hour=0.0, cache_gb=0.0)
     assert read == full_frame()._replace(pools=(pool(kind=kept),))
 
 
@@ -278,7 +278,7 @@
     assert all(found.speaks_to("east", member) for member in ("n0", "n1", "n2"))
     found.take(dump_frame(frame(member="n1")), "127.0.1.1")
     assert [found.speaks_to("east", m) for m in ("n0", "n1", "n2")] == [False, True, False]
-    found.ctx.now = Moment(found.ctx.now + 2.5)
+    found.ctx.now = MonotonicTime(found.ctx.now + 2.5)
     assert all(found.speaks_to("east", member) for member in ("n0", "n1", "n2"))
 
 
@@ -326,9 +326,9 @@
 # Edits
 
 
-def away_job(stage: AwayStage, **fields: Any) -> JobRecord:
-    away = Away("north", 1, stage, EPOCH, "" if stage == AwayStage.OFFERED else "9-1")
-    return JobRecord(spec(Pieces=4), EPOCH, away=away, **fields)
+def away_job(stage: DelegationStage, **fields: Any) -> JobRecord:
+    away = Delegation("north", 1, stage, EPOCH, "" if stage == DelegationStage.OFFERED else "9-1")
+    return JobRecord(spec(Pieces=4), EPOCH, delegation=away, **fields)
 
 
 def guest_job(stage: GuestStage, **fields: Any) -> JobRecord:
@@ -347,7 +347,7 @@
         edits.mark_running("north", handle, EPOCH),
     ):
         with pytest.raises(NotApplicableError):
-            change(away_job(AwayStage.GRANTED))
+            change(away_job(DelegationStage.GRANTED))
     for change in (
         edits.accept_grant("east", handle, EPOCH),
         edits.revoke("east", handle),
@@ -358,18 +358,18 @@
 
 
 def test_an_epoch_only_rises_and_a_job_is_offered_once_at_a_time() -> None:
-    first = edits.offer(Away("north", 1, AwayStage.OFFERED, EPOCH), 0.0)
+    first = edits.offer(Delegation("north", 1, DelegationStage.OFFERED, EPOCH), 0.0)
     record = first(JobRecord(spec(), EPOCH))
     assert isinstance(record, JobRecord)
-    assert record.is_away
+    assert record.is_delegated
     for epoch in (1, 2):
         with pytest.raises(NotApplicableError):
-            edits.offer(Away("west", epoch, AwayStage.OFFERED, EPOCH), 0.0)(record)
+            edits.offer(Delegation("west", epoch, DelegationStage.OFFERED, EPOCH), 0.0)(record)
     back = edits.take_back("north", Handle(NAME, 1), EPOCH, "no answer")(record)
     assert isinstance(back, JobRecord)
     with pytest.raises(NotApplicableError):
-        edits.offer(Away("west", 1, AwayStage.OFFERED, EPOCH), 0.0)(back)
-    again = edits.offer(Away("west", 2, AwayStage.OFFERED, EPOCH), 0.0)(back)
+        edits.offer(Delegation("west", 1, DelegationStage.OFFERED, EPOCH), 0.0)(back)
+    again = edits.offer(Delegation("west", 2, DelegationStage.OFFERED, EPOCH), 0.0)(back)
     assert isinstance(again, JobRecord)
     # A grant that the first cell's reservation asked for comes too late.
     with pytest.raises(NotApplicableError):
@@ -377,8 +377,10 @@
 
 
 def test_a_job_with_a_task_or_a_guest_is_not_offered() -> None:
-    change = edits.offer(Away("north", 1, AwayStage.OFFERED, EPOCH), 0.0)
-    placed = JobRecord(spec(), EPOCH, entries=[Entry(0, records.PLACED, 1, "n0", "a", "i-1", 1)])
+    change = edits.offer(Delegation("north", 1, DelegationStage.OFFERED, EPOCH), 0.0)
+    placed = JobRecord(
+        spec(), EPOCH, entries=[TaskEntry(0, records.PLACED, 1, "n0", "a", "i-1", 1)]
+    )
     for record in (placed, guest_job(GuestStage.GRANTED), None, Ending(records.DONE, 1)):
         with pytest.raises(NotApplicableError):
             change(record)
@@ -387,34 +389,34 @@
 def test_what_was_done_elsewhere_is_done() -> None:
     told = GuestState(HANDLE, GuestStage.RELEASED, 0, [(1, 2)], 7)
     change = edits.take_back("north", HANDLE, EPOCH, "released", told)
-    back = change(away_job(AwayStage.RUNNING, done=[(0, 0)]))
+    back = change(away_job(DelegationStage.RUNNING, done_ranges=[(0, 0)]))
     assert isinstance(back, JobRecord)
-    assert back.done == [(0, 2)]
+    assert back.done_ranges == [(0, 2)]
     assert back.attempt == 7
-    assert back.counted_tasks == 0
+    assert back.quota_task_count == 0
     whole = GuestState(HANDLE, GuestStage.RELEASED, 0, [(0, 3)], 7)
-    ended = edits.take_back("north", HANDLE, EPOCH, "", whole)(away_job(AwayStage.RUNNING))
+    ended = edits.take_back("north", HANDLE, EPOCH, "", whole)(away_job(DelegationStage.RUNNING))
     assert ended == Ending(records.DONE, 4)
 
 
 def test_progress_elsewhere_is_kept_when_its_cell_is_lost() -> None:
-    running = away_job(AwayStage.RUNNING)
+    running = away_job(DelegationStage.RUNNING)
     noted = edits.note_progress("north", HANDLE, [(0, 1)])(running)
     assert isinstance(noted, JobRecord)
-    assert noted.is_away
-    assert noted.counted_tasks == 2
+    assert noted.is_delegated
+    assert noted.quota_task_count == 2
     back = edits.take_back("north", HANDLE, EPOCH, "lost")(noted)
     assert isinstance(back, JobRecord)
-    assert back.waiting(9) == [2, 3]
+    assert back.waiting_indices(9) == [2, 3]
     for done in ([(0, 1)], [(3, 4)]):  # nothing new; no such task
         with pytest.raises(NotApplicableError):
             edits.note_progress("north", HANDLE, done)(noted)
 
 
 def test_a_cancelled_job_that_is_away_ends_only_on_proof() -> None:
-    offered = jobs.cancel()(away_job(AwayStage.OFFERED))
+    offered = jobs.cancel()(away_job(DelegationStage.OFFERED))
     assert offered == Ending(records.CANCELLED, 4)  # nobody may have started it
-    granted = jobs.cancel()(away_job(AwayStage.GRANTED))
+    granted = jobs.cancel()(away_job(DelegationStage.GRANTED))
     assert isinstance(granted, JobRecord)
     assert granted.status == records.CANCELLED
     ended = edits.take_back("north", HANDLE, EPOCH, "lost")(granted)
@@ -423,7 +425,7 @@
 
 
 def test_a_guest_with_tasks_is_not_forgotten() -> None:
-    entries = [Entry(0, records.PLACED, 1, "n0", "a", "i-1", 1)]
+    entries = [TaskEntry(0, records.PLACED, 1, "n0", "a", "i-1", 1)]
     stopping = guest_job(GuestStage.GRANTED, entries=entries)
     with pytest.raises(NotApplicableError):
         edits.forget("east", HANDLE)(stopping)
@@ -435,7 +437,7 @@
     assert isinstance(released, JobRecord)
     assert released.guest is not None
     assert released.guest.stage == GuestStage.RELEASED
-    assert edits.forget("east", HANDLE)(released) == Remove()
+    assert edits.forget("east", HANDLE)(released) == DeleteKey()
 
 
 def test_an_id_that_is_taken_is_not_reserved() -> None:
@@ -461,17 +463,17 @@
     view = View()
     view.keep("cf/c/east", CellLink(held_until=held_until, held_s=held_s), 1)
     found = GrantClock(view)
-    found.observe(Moment(100.0))
+    found.observe(MonotonicTime(100.0))
     return found
 
 
 def test_a_grant_ends_by_the_time_of_day_or_by_the_steady_clock() -> None:
     """A clock that is set back must not keep another cell's tasks running."""
     grants = clock(EPOCH + 12.0, 12.0)
-    assert not grants.lapsed("east", Moment(105.0), WallTime(EPOCH + 5.0))
-    assert grants.lapsed("east", Moment(105.0), WallTime(EPOCH + 12.0))
-    assert grants.lapsed("east", Moment(112.1), WallTime(EPOCH - 7200.0))
-    assert grants.lapsed("west", Moment(105.0), WallTime(EPOCH))  # never granted
+    assert not grants.lapsed("east", MonotonicTime(105.0), WallTime(EPOCH + 5.0))
+    assert grants.lapsed("east", MonotonicTime(105.0), WallTime(EPOCH + 12.0))
+    assert grants.lapsed("east", MonotonicTime(112.1), WallTime(EPOCH - 7200.0))
+    assert grants.lapsed("west", MonotonicTime(105.0), WallTime(EPOCH))  # never granted
 
 
 def test_a_clock_that_jumps_forwards_takes_no_job_back() -> None:
@@ -484,9 +486,9 @@
     cells.home.observe()
     ctx.wall = WallTime(until + 7200.0)
     assert not cells.home._is_proven_gone("east")
-    ctx.now = Moment(ctx.now + 26.0)
+    ctx.now = MonotonicTime(ctx.now + 26.0)
     assert not cells.home._is_proven_gone("east")
-    ctx.now = Moment(ctx.now + 2.0)
+    ctx.now = MonotonicTime(ctx.now + 2.0)
     assert cells.home._is_proven_gone("east")
     ctx.wall = WallTime(until + 1.0)  # set back again: not before the time of day has it too
     assert not cells.home._is_proven_gone("east")
@@ -543,8 +545,8 @@
     """A cell that is heard and does not hear would else keep our jobs for ever."""
     cells = guest_world(GuestStage.GRANTED, 50.0)
     ctx, view = cells.core.ctx, cells.core.view
-    away = Away("east", 1, AwayStage.GRANTED, ctx.wall, "7-1")
-    view.keep(records.job_key(JobId("job-2")), JobRecord(spec(), ctx.wall, away=away), 10**6)
+    away = Delegation("east", 1, DelegationStage.GRANTED, ctx.wall, "7-1")
+    view.keep(records.job_key(JobId("job-2")), JobRecord(spec(), ctx.wall, delegation=away), 10**6)
     view.keep("cf/c/east", CellLink(ctx.wall + 5.0, 12.0, 10.0), 10**6 + 1)
     raw = dump_frame(frame(sent_at=ctx.wall, held_until=ctx.wall + held_s))
     cell = cells.directory.take(raw, "127.0.1.1")
@@ -562,7 +564,7 @@
     cells = Cells(config(), world.core)
     world.run(3.0)
     ctx, view = world.enter().ctx, world.core.view
-    view.level = records.WITH_CELLS
+    view.level = records.CELLS_LEVEL
     view.keep("cf/c/east", CellLink(held_until=ctx.wall + held_s, held_s=held_s), 10**6)
     view.keep(records.job_key(NAME), guest_job(stage), 10**6)
     world.enter()
@@ -636,7 +638,7 @@
 
 def test_a_gang_that_is_a_guest_is_finished_and_not_ended() -> None:
     """Its end is its home's to write: an ending here would be forgotten there."""
-    entries = [Entry(n, records.PLACED, 3, "n0", "a", f"i-{n}", 1) for n in range(4)]
+    entries = [TaskEntry(n, records.PLACED, 3, "n0", "a", f"i-{n}", 1) for n in range(4)]
     gang = guest_job(GuestStage.GRANTED, entries=entries)
     gang = msgspec.structs.replace(gang, spec=spec(Pieces=4, Shape="ensemble"))
     done = jobs.finish(0, "i-0", 3)(gang)
@@ -649,8 +651,8 @@
 @pytest.mark.parametrize(
     "record",
     [
-        away_job(AwayStage.OFFERED),
-        away_job(AwayStage.RUNNING),
+        away_job(DelegationStage.OFFERED),
+        away_job(DelegationStage.RUNNING),
         guest_job(GuestStage.RESERVED),
         guest_job(GuestStage.RELEASED),
     ],
@@ -671,11 +673,13 @@
 
 def test_nothing_is_added_to_the_bytes_of_a_job_that_never_moved() -> None:
     plain = JobRecord(spec(), EPOCH)
-    moved = msgspec.structs.replace(plain, away=Away("north", 1, AwayStage.HOME, EPOCH))
-    assert len(codec.dump(plain, 1)) == 6
+    moved = msgspec.structs.replace(
+        plain, delegation=Delegation("north", 1, DelegationStage.HOME, EPOCH)
+    )
+    assert len(codec.encode_record(plain, 1)) == 6
     for record in (plain, moved, guest_job(GuestStage.GRANTED)):
         key = records.job_key(NAME)
-        assert codec.parse(key, codec.dump(record, 2)) == record
+        assert codec.decode_record(key, codec.encode_record(record, 2)) == record
 
 
 def test_use_counts_at_home_while_a_job_is_away() -> None:
@@ -683,12 +687,12 @@
     key = records.job_key(NAME)
     view.keep(key, JobRecord(spec(Pieces=4), EPOCH), 1)
     assert view.usage.get("blue", [0.0, 0.0])[1] == 0.0
-    view.keep(key, away_job(AwayStage.OFFERED), 2)
+    view.keep(key, away_job(DelegationStage.OFFERED), 2)
     assert view.usage["blue"][1] == 4.0
     assert NAME not in view.waiting
-    view.keep(key, away_job(AwayStage.RUNNING, status=records.CANCELLED), 3)
+    view.keep(key, away_job(DelegationStage.RUNNING, status=records.CANCELLED), 3)
     assert view.usage["blue"][1] == 4.0  # until it is proven gone
-    view.keep(key, away_job(AwayStage.HOME), 4)
+    view.keep(key, away_job(DelegationStage.HOME), 4)
     assert view.usage["blue"][1] == 0.0
     assert NAME in view.waiting
 
@@ -775,11 +779,11 @@
         view.keep(records.job_key(name), JobRecord(spec(NameId=name), EPOCH), number + 1)
         log.expect(name, EPOCH, 9.0)
         log.expect(name, EPOCH + 5.0, 900.0)  # only the first word counts
-        entry = Entry(0, records.PLACED, 1, "n0", "a", "i-1", 1)
+        entry = TaskEntry(0, records.PLACED, 1, "n0", "a", "i-1", 1)
         started = JobRecord(spec(NameId=name), EPOCH, entries=[entry])
         view.keep(records.job_key(name), started, number + 1000)
         assert log.factor == 1.0
-    log.look(Moment(100.0), EPOCH + 19.0)
+    log.look(MonotonicTime(100.0), EPOCH + 19.0)
     assert log.factor == pytest.approx(2.0)
     summary = read_summary(log.encoded())
     assert summary is not None
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -16,10 +16,10 @@
 from coursefold.protocol.wire import Catalog, Job, decode, encode
 from coursefold.storage import codec, records
 from coursefold.storage.edits import NotApplicableError
-from coursefold.storage.records import PLACED, Entry, JobRecord
+from coursefold.storage.records import PLACED, JobRecord, TaskEntry
 from tests.world import CATALOG, JOB, SETTINGS, World
 
-SMALL = decode(encode(CATALOG), Catalog).builds[0]
+SMALL = decode(encode(CATALOG), Catalog).machine_types[0]
 LARGE = decode(
     encode(
         {
@@ -31,7 +31,7 @@
         }
     ),
     Catalog,
-).builds[0]
+).machine_types[0]
 
 
 def job(**fields: Any) -> Job:
@@ -84,7 +84,9 @@
 
 def test_what_is_placed_is_not_placed_again() -> None:
     """A step may come twice, by the leader and by the owner itself."""
-    placed = JobRecord(job(), 0.0, attempt=1, entries=[Entry(0, PLACED, 1, "n1", "a", "i-1", 1)])
+    placed = JobRecord(
+        job(), 0.0, attempt=1, entries=[TaskEntry(0, PLACED, 1, "n1", "a", "i-1", 1)]
+    )
     with pytest.raises(NotApplicableError):
         jobs.place("n1", [jobs.Task(0, 0, "a", "i-2", 1)])(placed)
 
@@ -193,13 +195,13 @@
             report(name, at)
         world.run(world.now + 1.0)
     # Others may have renewed their leases since: silence alone proves nothing about them.
-    world.store.set(str(records.ROSTER), world.store.keys[records.ROSTER][0])
-    place = Entry(0, PLACED, 1, "n0", "b", names[0], 1)
+    world.store.set(str(records.ROSTER_KEY), world.store.keys[records.ROSTER_KEY][0])
+    place = TaskEntry(0, PLACED, 1, "n0", "b", names[0], 1)
     world.submit("job-1", Site="b")
     key = records.job_key(JobId("job-1"))
     live = world.core.view.jobs[JobId("job-1")]
     held = msgspec.structs.replace(live, attempt=1, entries=[place])
-    world.store.set(key, codec.dump(held))
+    world.store.set(key, codec.encode_record(held))
     began, at = world.now, 3
     while world.now < began + 30.0:
         for name in names[silent:]:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,7 +7,7 @@
 from coursefold.coordination.queueing import optimum
 from coursefold.coordination.summary import REASONS, Rows, Teller, read, take
 from coursefold.policy.language import parse
-from coursefold.protocol.ids import JobId, Moment
+from coursefold.protocol.ids import JobId, MonotonicTime
 from coursefold.storage import records
 from coursefold.storage.view import View
 from coursefold.transport.peers import FRAME_LIMIT
@@ -159,8 +159,8 @@
     """One that was seen before an older write of the same key must win over it."""
     view = View()
     for number in range(2 * MACHINES):
-        view.drop(f"{records.JOBS}job-{number}", 1000 + number)
-    old = view.put(f"{records.JOBS}job-0", [1, 1], 999)
+        view.drop(f"{records.JOB_PREFIX}job-{number}", 1000 + number)
+    old = view.put(f"{records.JOB_PREFIX}job-0", [1, 1], 999)
     assert not old
 
 
@@ -181,5 +181,5 @@
     assert len(up) >= 0.95 * MACHINES
     assert len(fleet.on) >= 0.9 * MACHINES
     leader = next(node for node in fleet.nodes if node.enter().ctx.leading())
-    assert leader.core.ctx.now > Moment(0.0)
+    assert leader.core.ctx.now > MonotonicTime(0.0)
     assert len(leader.core.fleet.inventory.machines) >= 0.95 * MACHINES
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -10,7 +10,7 @@
 from coursefold.coordination.demand import Need, Planner, PoolId, Runs
 from coursefold.coordination.placement import Market, Picker, Refused, Room
 from coursefold.coordination.requests import Purpose, Question
-from coursefold.protocol.ids import JobId, Moment, WallTime
+from coursefold.protocol.ids import JobId, MonotonicTime, WallTime
 from coursefold.protocol.wire import Catalog, Job, MachineType, decode, encode
 from coursefold.storage import codec, records
 from coursefold.storage.edits import Edit, NotApplicableError
@@ -23,7 +23,7 @@
 
 def switched() -> World:
     world = World()
-    world.store.set(records.LEVEL, [1])
+    world.store.set(records.FORMAT_LEVEL_KEY, [1])
     world.run(2.0)
     return world
 
@@ -80,14 +80,14 @@
     if answer != 201:
         assert world.store.ledger == before
     elif prereqs:
-        assert world.core.view.jobs[JobId("job-2")].needs == ["job-1"]
+        assert world.core.view.jobs[JobId("job-2")].open_prerequisites == ["job-1"]
 
 
 def test_a_job_accepted_at_another_node_a_moment_ago_is_known() -> None:
     """Our news of it are still on their way; a 422 from our own view would be final."""
     world = switched()
     spec = decode(encode(JOB | {"NameId": "job-1"}), Job)
-    world.store.set(key("job-1"), codec.dump(JobRecord(spec, EPOCH)))
+    world.store.set(key("job-1"), codec.encode_record(JobRecord(spec, EPOCH)))
     assert JobId("job-1") not in world.core.view.jobs
     accepted(world, "job-2", "job-1")
     assert status(world, "job-2") == "pending"
@@ -99,7 +99,7 @@
     world.run(3.0)
     world.core.view.endings.clear()
     accepted(world, "job-2", "job-1")
-    assert world.core.view.jobs[JobId("job-2")].needs == []
+    assert world.core.view.jobs[JobId("job-2")].open_prerequisites == []
 
 
 def test_what_cannot_be_decided_is_not_refused_for_good() -> None:
@@ -151,8 +151,8 @@
     world = switched()
     spec = decode(encode(JOB | {"NameId": "job-1"}), Job)
     for name in names:
-        world.store.set(key(name), codec.dump(JobRecord(spec, EPOCH)))
-    world.core.queue.later = world.core.queue.limits._replace(txn_ops=5, value=2048)
+        world.store.set(key(name), codec.encode_record(JobRecord(spec, EPOCH)))
+    world.core.queue.later = world.core.queue.limits._replace(txn_ops=5, value_bytes=2048)
     world.run(3.0)
     accepted(world, "job-1", *names[:1000])
     answer = world.submit("job-2", Prereqs=names)
@@ -168,7 +168,7 @@
     accepted(world, "job-1")
     world.run(4.0)
     hires = world.core.view.pools
-    before = sum(h.count for pool in hires.values() for h in pool.hires)
+    before = sum(h.count for pool in hires.values() for h in pool.rentals)
     accepted(world, "job-2", "job-1", Pieces=6, Owner="red")
     world.run(12.0)
     node = world.core
@@ -177,7 +177,7 @@
     arrivals = node.fleet.pools.arrivals
     assert "job-2" not in arrivals
     assert "job-1" in arrivals
-    assert sum(h.count for pool in hires.values() for h in pool.hires) == before
+    assert sum(h.count for pool in hires.values() for h in pool.rentals) == before
     answer = world.poll("job-2")
     assert answer is not None
     assert answer.body["why"] == "waiting for job-1 to be done"
@@ -224,7 +224,7 @@
 def test_no_edit_gives_a_waiting_job_a_place() -> None:
     """Whatever a view shows, and whoever proposes it."""
     spec = decode(encode(JOB | {"NameId": "job-2"}), Job)
-    record = JobRecord(spec, 0.0, needs=["job-1"])
+    record = JobRecord(spec, 0.0, open_prerequisites=["job-1"])
     for change in (
         edits.deal([edits.Dealt(0, "n0", "a", "i-1")]),
         edits.place("n0", [edits.Task(0, 0, "a", "i-1", 1)]),
@@ -234,7 +234,7 @@
             change(record)
         free = edits.release(7.0)(record)
         assert isinstance(free, JobRecord)
-        assert free.ready == 7.0
+        assert free.ready_at == 7.0
         change(free)
 
 
@@ -282,7 +282,7 @@
         (found,) = [w for w in world.core.leader.queue(quota(world)) if w.name == "job-2"]
         assert found.age == pytest.approx(world.now - 55.0, abs=1.0)
         due_at = world.core.leader.waiting.urgency.of(JobId("job-2"), job).due_at
-        assert due_at == pytest.approx(job.at + 900.0)
+        assert due_at == pytest.approx(job.accepted_at + 900.0)
         world.restart()
         world.run(world.now + 3.0)
 
@@ -397,7 +397,7 @@
     world.cancel("job-1")
     world.enter().leader.tick()
     queue.propose(Edit(key("job-99"), edits.accept(decode(
-        encode(JOB | {"NameId": "job-99"}), Job), EPOCH), rank=0))  # fmt: skip
+        encode(JOB | {"NameId": "job-99"}), Job), EPOCH), priority=0))  # fmt: skip
     assert 0 < sum(any(e.tag == "orphan" for e in w) for w in queue.waiting.values()) <= 8
     batch = queue.next_batch(world.core.ctx.now)
     assert batch is not None
@@ -419,7 +419,7 @@
     lent = world.core.ctx.machines["i-000000"].lent_until
     assert lent > world.core.ctx.now
     world.core.ctx.pending[("job-2", 0)] = ("i-000000", SMALL)  # what we are about to place
-    world.enter().at(Moment(lent + 1.0), WallTime(EPOCH))
+    world.enter().at(MonotonicTime(lent + 1.0), WallTime(EPOCH))
     summary.lend(world.core.ctx, frozenset(["i-000000"]))
     assert world.core.ctx.machines["i-000000"].lent_until == lent
 
@@ -449,9 +449,9 @@
 
 def test_small_work_stops_nothing_that_has_an_accelerator() -> None:
     may = core.Core(World().core.ctx.settings).leader.preemption.may
-    victim = JobRecord(msgspec.structs.replace(BUSY, rank="idle"), 0.0)
+    victim = JobRecord(msgspec.structs.replace(BUSY, priority="idle"), 0.0)
     for spec, allowed in ((SMALL, False), (BUSY, True)):
-        urgent = msgspec.structs.replace(spec, rank="urgent")
+        urgent = msgspec.structs.replace(spec, priority="urgent")
         assert may(urgent, 1, False, JobId("job-9"), victim, None, 99.0) is allowed
 
 
--- a/tests/test_questions.py
+++ b/tests/test_questions.py
@@ -5,9 +5,9 @@
 import pytest
 
 from coursefold.protocol import peer_pb2
-from coursefold.protocol.ids import JobId, Moment
+from coursefold.protocol.ids import JobId, MonotonicTime
 from coursefold.storage import codec, records
-from coursefold.storage.records import Entry, JobRecord
+from coursefold.storage.records import JobRecord, TaskEntry
 from coursefold.transport.state import StateClient
 from tests.world import SETTINGS, World
 
@@ -55,10 +55,10 @@
 
 def test_reads_keep_a_part_of_the_rate_whatever_else_is_sent() -> None:
     """Seen by reading: a busy leader refused every poll for a job that ended long ago."""
-    now = [Moment(10.0)]
+    now = [MonotonicTime(10.0)]
     client = StateClient("127.0.0.1:1", 100.0, 5, lambda: now[0], lambda _: None)
     assert sum(client.room() for _ in range(50)) == 8
-    now[0] = Moment(11.0)
+    now[0] = MonotonicTime(11.0)
     assert sum(client.room() for _ in range(50)) == 4
 
 
@@ -70,10 +70,10 @@
         world.cancel(f"job-{number}")
     world.run(6.0)
     assert (
-        not any(key.startswith(records.JOBS) for key in world.store.keys)
-        or len([key for key in world.store.keys if key.startswith(records.JOBS)]) < 8
+        not any(key.startswith(records.JOB_PREFIX) for key in world.store.keys)
+        or len([key for key in world.store.keys if key.startswith(records.JOB_PREFIX)]) < 8
     )
-    assert sum(key.startswith(records.ENDINGS) for key in world.store.keys) >= 8
+    assert sum(key.startswith(records.ENDING_PREFIX) for key in world.store.keys) >= 8
     answer = world.poll("job-0")
     assert answer is not None
     assert answer.body["Status"] == "cancelled"
@@ -99,8 +99,10 @@
     world.join("n1", "b")
     world.submit("job-1", Pieces=2)
     world.run(2.0)
-    placed = Entry(0, records.PLACED, 1, "n1", "b", "i-5", 1)
-    value = codec.dump(JobRecord(record(world, "job-1").spec, 0.0, attempt=1, entries=[placed]))
+    placed = TaskEntry(0, records.PLACED, 1, "n1", "b", "i-5", 1)
+    value = codec.encode_record(
+        JobRecord(record(world, "job-1").spec, 0.0, attempt=1, entries=[placed])
+    )
     world.store.set(records.job_key(JobId("job-1")), value)
     world.run(2.5)
 
@@ -112,7 +114,7 @@
     done = {"number": 0, "attempt": 1, "machine": "i-5"}
     world.peer(frame(world, 1, full=True))
     world.peer(frame(world, 2, proposal(world, 1, "finish", **done)))
-    assert record(world, "job-1").done == [(0, 0)]
+    assert record(world, "job-1").done_ranges == [(0, 0)]
     ledger = world.store.ledger
     world.peer(frame(world, 3, proposal(world, 1, "finish", **done)))
     world.peer(frame(world, 4, proposal(world, 2, "gone", **done)))
@@ -174,7 +176,7 @@
     world.run(1.0)
     world.report("i-000000", [], Counter=1)
     world.run(world.now + 1.0)
-    world.core.ctx.follow_ok_at = Moment(100.0 + world.now - 6.0)
+    world.core.ctx.follow_ok_at = MonotonicTime(100.0 + world.now - 6.0)
     answer = world.report("i-000000", [], Counter=2)
     assert answer is not None
     assert (answer.status == 200) == renewed
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -31,8 +31,8 @@
     world.take_over("n1", "a")
     world.run(30.0)
     mine = ["n0", world.core.ctx.permit, "a"]
-    other = world.store.keys[records.MEMBERS + "n1"][0]
-    world.store.set(str(records.ROSTER), ["n1", [mine, other]])
+    other = world.store.keys[records.MEMBER_PREFIX + "n1"][0]
+    world.store.set(str(records.ROSTER_KEY), ["n1", [mine, other]])
     world.run(33.0)
     assert world.core.ctx.active()
     assert not world.core.ctx.machines[machine].lost
@@ -64,7 +64,9 @@
     assert [m.name for m in roster.members] == ["n0", "n1", "n2"]
     assert len(set(rosters)) == 2
     # A member that is lost is not waited for: its machines have no owner.
-    world.store.end(next(p for p, _ in world.store.leases.items() if p == roster.members[1].permit))
+    world.store.end(
+        next(p for p, _ in world.store.leases.items() if p == roster.members[1].lease_id)
+    )
     world.run(world.now + 0.5)
     roster = world.core.view.roster
     assert roster is not None
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -357,8 +357,8 @@
 def _second_request(machine: str, record: MachineOwnership, epoch: int) -> Any:
     from coursefold.shares.moves import Move, request
 
-    move = Move(machine, record.source, "n0", epoch, record.mode, record.until, "second")
-    return request(move, record.roster, EPOCH)
+    move = Move(machine, record.source, "n0", epoch, record.mode, record.expires_at, "second")
+    return request(move, record.roster_token, EPOCH)
 
 
 def test_nothing_new_starts_on_a_machine_that_drains() -> None:
@@ -424,7 +424,7 @@
     some = SharesFleet(capacity=40, without=frozenset({1, 3}))
     some.fill(8, 10.0)
     some.run(25.0)
-    assert some.led().core.view.level < records.WITH_SHARES
+    assert some.led().core.view.level < records.SHARES_LEVEL
     if some.led().number in some.shares:
         assert some.move("n0", "n1", 1, "r-1").status == 503
     none = SharesFleet(capacity=40, without=frozenset(range(5)))
@@ -446,7 +446,7 @@
         one.start()
         names += fleet.fill(6, 20.0, prefix=str(2 + number))
         fleet.run(fleet.now + 6.0)
-    fleet.run_until(lambda: fleet.led().core.view.level == records.WITH_SHARES, 30.0)
+    fleet.run_until(lambda: fleet.led().core.view.level == records.SHARES_LEVEL, 30.0)
     pair = ask(fleet, 2)
     fleet.run_until(lambda: fleet.handovers[pair] >= 2, 60.0)
     ends_well(fleet, names)
@@ -507,6 +507,6 @@
     roster, _ = fleet.roster()
     assert roster is not None
     other = next(m for m in roster.members if m.name != fleet.owner_of(machine))
-    fleet.store.set(f"cf/s/{machine}", [1, 0, other.name, other.permit, 1])
+    fleet.store.set(f"cf/s/{machine}", [1, 0, other.name, other.lease_id, 1])
     with pytest.raises(RuleBrokenError, match="changed hands"):
         fleet.run(fleet.now + 1.0)
--- a/tests/test_shares_guards.py
+++ b/tests/test_shares_guards.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from hypothesis.strategies import integers, sampled_from
 
-from coursefold.protocol.ids import JobId, Moment
+from coursefold.protocol.ids import JobId, MonotonicTime
 from coursefold.settings import Settings
 from coursefold.shares import moves
 from coursefold.shares.config import SharesConfig
@@ -17,7 +17,7 @@
 from coursefold.shares.shares import Shares
 from coursefold.shares.targets import Transfer
 from coursefold.storage import codec, records
-from coursefold.storage.edits import Change, NotApplicableError, Remove
+from coursefold.storage.edits import Change, DeleteKey, NotApplicableError
 from coursefold.storage.share_records import MachineOwnership, MoveMode, MoveStage
 from tests.shares_world import shares_file
 from tests.world import EPOCH, SETTINGS, World
@@ -33,9 +33,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.join("n1", "b")
-        permit = self.store.keys[records.MEMBERS + "n1"][0][1]
-        self.store.set(records.VERSIONS + "n1", [records.WITH_SHARES, permit])
-        self.store.set(str(records.LEVEL), [records.WITH_SHARES])
+        permit = self.store.keys[records.MEMBER_PREFIX + "n1"][0][1]
+        self.store.set(records.VERSION_PREFIX + "n1", [records.SHARES_LEVEL, permit])
+        self.store.set(str(records.FORMAT_LEVEL_KEY), [records.SHARES_LEVEL])
         config = SharesConfig(shares_file(), msgspec.convert(SETTINGS, Settings))
         self.shares = Shares(config, self.core)
         self.counter = 0
@@ -71,7 +71,8 @@
         """The leader's commit that requests a move."""
         record = MachineOwnership(
             self.store.ledger, MoveStage.DRAINING, source="n0", target=new_owner,
-            roster=self.token, at=EPOCH + self.now, until=EPOCH + self.now + 60.0,
+            roster_token=self.token, stage_started_at=EPOCH + self.now,
+            expires_at=EPOCH + self.now + 60.0,
         )  # fmt: skip
         self.store.set(str(KEY), msgspec.to_builtins(msgspec.structs.replace(record, **changes)))
         self._news()
@@ -87,13 +88,13 @@
             self.run(self.now + 0.25)
 
     def record(self) -> MachineOwnership:
-        found = codec.parse(KEY, self.store.keys[str(KEY)][0])
+        found = codec.decode_record(KEY, self.store.keys[str(KEY)][0])
         assert isinstance(found, MachineOwnership)
         return found
 
     def sends_nothing(self) -> None:
         """Transactions wait in the queue: their outcome is not known for as long."""
-        self.core.queue.pause_until = Moment(1e9)
+        self.core.queue.pause_until = MonotonicTime(1e9)
 
 
 def test_a_running_replica_is_handed_over_and_its_worker_sent_on() -> None:
@@ -109,7 +110,7 @@
     ("changes", "state_age"),
     [
         ({"source": "n2"}, 0.0),  # another's to hand over
-        ({"until": EPOCH}, 0.0),  # its time is over
+        ({"expires_at": EPOCH}, 0.0),  # its time is over
         ({"target": "n2"}, 0.0),  # who is not there
         ({}, 9.0),  # the new owner is without the state service
     ],
@@ -125,7 +126,7 @@
 def test_a_move_requested_under_an_older_roster_is_renewed_first() -> None:
     """Else its token would be lower than the one that the machine knows."""
     world = Pair()
-    world.moves_to("n1", roster=1)
+    world.moves_to("n1", roster_token=1)
     requested_at = world.core.view.stamp(KEY)
     assert world.shares.handover.waiting == {}
     world.shares.handover.tick()
@@ -151,22 +152,22 @@
 def test_silence_proves_nothing_while_the_outcome_of_a_handover_is_unknown() -> None:
     world = Pair()
     world.sends_nothing()
-    world.moves_to("n1", until=EPOCH + 1000.0)
+    world.moves_to("n1", expires_at=EPOCH + 1000.0)
     world.ticks(20.0)
     assert world.core.ctx.active()
     assert not world.core.ctx.machines[MACHINE].lost
-    assert not [k for k in world.core.queue.waiting if k.startswith(records.JOBS)]
+    assert not [k for k in world.core.queue.waiting if k.startswith(records.JOB_PREFIX)]
 
 
 def test_leases_are_renewed_no_longer_than_the_leader_waits_for_them() -> None:
     """Siblings may vouch as long as they like: the handover may have come about meanwhile."""
     world = Pair()
     world.sends_nothing()
-    world.moves_to("n1", until=EPOCH + 1000.0)
+    world.moves_to("n1", expires_at=EPOCH + 1000.0)
     world.ticks()
     since, longest = world.now, world.core.ctx.longest_renewal()
     world.state = "down"
-    permits = {p.name: p.permit for p in world.core.view.members.values()}
+    permits = {p.name: p.lease_id for p in world.core.view.members.values()}
     while world.now < since + longest + 5.0:
         for member in ("n1", "n2"):
             permit = permits.get(member, 0)
@@ -182,10 +183,15 @@
     """A handover to `n0` under this fencing token."""
     roster = world.core.view.roster
     assert roster is not None
-    mine = roster.member("n0")
+    mine = roster.find_member("n0")
     assert mine is not None
     world.moves_to(
-        "n0", stage=MoveStage.SETTLED, owner="n0", incarnation=mine.permit, token=token, source="n1"
+        "n0",
+        stage=MoveStage.SETTLED,
+        owner="n0",
+        incarnation=mine.lease_id,
+        token=token,
+        source="n1",
     )
 
 
@@ -288,22 +294,22 @@
 
 
 def time_is_over(world: Pair) -> None:
-    world.moves_to("n1", until=EPOCH + world.now + 1.0)
+    world.moves_to("n1", expires_at=EPOCH + world.now + 1.0)
 
 
 def is_returned(world: Pair) -> None:
-    world.moves_to("n1", until=EPOCH + 1000.0)
+    world.moves_to("n1", expires_at=EPOCH + 1000.0)
     world.cloud = "down"  # so it stays for now
     world.core.fleet.inventory.returning[MACHINE] = "for the test"
 
 
 def new_owner_ends(world: Pair) -> None:
-    world.moves_to("n1", until=EPOCH + 1000.0)
-    world.store.end(world.store.keys[records.MEMBERS + "n1"][0][1])
+    world.moves_to("n1", expires_at=EPOCH + 1000.0)
+    world.store.end(world.store.keys[records.MEMBER_PREFIX + "n1"][0][1])
 
 
 def old_owner_is_another(world: Pair) -> None:
-    world.moves_to("n1", source="n2", until=EPOCH + 1000.0)
+    world.moves_to("n1", source="n2", expires_at=EPOCH + 1000.0)
 
 
 @pytest.mark.parametrize(
@@ -331,7 +337,7 @@
 def test_a_move_rents_nothing_and_yields_to_a_job_that_waits_for_its_room() -> None:
     """The machine holds one more task, which has to wait for the move, or for its end."""
     world = Pair()
-    world.moves_to("n1", until=EPOCH + 1000.0)  # which is not heard
+    world.moves_to("n1", expires_at=EPOCH + 1000.0)  # which is not heard
     assert counted(world) == (True, False)
     hires = sum(verb == "hire" for verb, _ in world.calls)
     world.submit("job-2", **REPLICA)
@@ -357,7 +363,7 @@
 
 def test_an_assignment_ends_with_its_owners_process() -> None:
     world = Pair()
-    permit = world.store.keys[records.MEMBERS + "n1"][0][1]
+    permit = world.store.keys[records.MEMBER_PREFIX + "n1"][0][1]
     world.moves_to("n1", stage=MoveStage.SETTLED, owner="n1", incarnation=permit, token=5)
     assert world.core.ctx.owner(MACHINE, "a") == "n1"
     world.moves_to("n1", stage=MoveStage.SETTLED, owner="n1", incarnation=permit + 1, token=5)
@@ -393,7 +399,7 @@
     assert str(KEY) in world.store.keys
     world.join("n2", "a")
     world.store.set(
-        records.VERSIONS + "n2", [records.WITH_SHARES, world.store.keys["cf/m/n2"][0][1]]
+        records.VERSION_PREFIX + "n2", [records.SHARES_LEVEL, world.store.keys["cf/m/n2"][0][1]]
     )
     world.ticks(20.0)
     assert world.core.view.token > world.token
@@ -401,7 +407,7 @@
     assert (str(KEY) in world.store.keys) == (owner != "n0")
 
 
-DRAINING = MachineOwnership(5, MoveStage.DRAINING, source="n0", target="n1", roster=3)
+DRAINING = MachineOwnership(5, MoveStage.DRAINING, source="n0", target="n1", roster_token=3)
 SETTLED = msgspec.structs.replace(DRAINING, stage=MoveStage.SETTLED)
 SECOND = moves.Move(MACHINE, "n0", "n2", 9, MoveMode.FINISH, EPOCH, "second")
 
@@ -431,7 +437,7 @@
     """Also where no leader has a file any more, who would withdraw it."""
     world = Pair()
     world.core.extensions.clear()
-    world.moves_to("n1", until=EPOCH + world.now + 5.0)
+    world.moves_to("n1", expires_at=EPOCH + world.now + 5.0)
     world.submit("job-2", **REPLICA)
     for seconds in (4.0, 4.0):
         assert world.core.view.entry(JobId("job-2"), 0) is None
@@ -473,7 +479,7 @@
             result = change(self.record)
         except NotApplicableError:
             return
-        assert not isinstance(result, Remove)
+        assert not isinstance(result, DeleteKey)
         assert isinstance(result, MachineOwnership)
         self.revision += 1
         self.record, self.stamp = result, self.revision
@@ -501,7 +507,7 @@
     @rule(late=sampled_from([False, True]))
     def hand_over(self, late: bool) -> None:
         assert self.record is not None
-        if self.record.roster == self.roster:
+        if self.record.roster_token == self.roster:
             self.send(moves.hand_over(self.record, self.stamp, 1, EPOCH), late)
 
     @rule()
--- a/tests/test_shares_loopback.py
+++ b/tests/test_shares_loopback.py
@@ -41,19 +41,19 @@
 
     def owners(self) -> dict[str, tuple[str, int]]:
         """Each machine's owner and fencing token, by the stored records alone."""
-        row = self.store.row(str(records.ROSTER))
-        roster = codec.parse(records.ROSTER, row["Value"]) if row else None
+        row = self.store.row(str(records.ROSTER_KEY))
+        roster = codec.decode_record(records.ROSTER_KEY, row["Value"]) if row else None
         if row is None or not isinstance(roster, Roster):
             return {}
         found = {}
         for name, box in self.cloud.boxes.items():
             owner, token = hashed_owner(name, box["Site"], roster) or "", row["Stamp"]
             kept = self.store.row(records.ownership_key(name))
-            record = codec.parse(kept["K"], kept["Value"]) if kept else None
+            record = codec.decode_record(kept["K"], kept["Value"]) if kept else None
             if isinstance(record, MachineOwnership):
                 token = max(token, record.token)
-                member = roster.member(record.owner)
-                if member is not None and member.permit == record.incarnation:
+                member = roster.find_member(record.owner)
+                if member is not None and member.lease_id == record.incarnation:
                     owner = record.owner
             found[name] = (owner, token)
         return found
@@ -63,7 +63,7 @@
     """One owner each, whose token rises with every change; the counts add up."""
     known: dict[str, tuple[str, int]] = {}
     while True:
-        row = cell.store.row(str(records.ROSTER))
+        row = cell.store.row(str(records.ROSTER_KEY))
         for machine, (owner, token) in cell.owners().items():
             before, shown = known.get(machine, (owner, 0))
             assert owner in {f"n{at}" for at in range(CONTROLLERS)}
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -9,14 +9,14 @@
 from hypothesis import strategies as st
 
 from coursefold.coordination import jobs
-from coursefold.protocol.ids import JobId, Moment
+from coursefold.protocol.ids import JobId, MonotonicTime
 from coursefold.protocol.wire import Job, decode, encode
 from coursefold.storage import codec, records
 from coursefold.storage.batches import Batch
-from coursefold.storage.codec import dump, parse
-from coursefold.storage.edits import FIRST, Edit, NotApplicableError
+from coursefold.storage.codec import decode_record, encode_record
+from coursefold.storage.edits import HIGH_PRIORITY, Edit, NotApplicableError
 from coursefold.storage.queue import MOST_CONFLICTS, CommitQueue
-from coursefold.storage.records import Entry, JobRecord, add_done
+from coursefold.storage.records import JobRecord, TaskEntry, add_to_ranges
 from coursefold.storage.view import View
 from tests.standins.state import StateStore
 from tests.world import JOB, World
@@ -24,7 +24,7 @@
 SPEC = decode(encode(JOB | {"NameId": "job-1", "Pieces": 1000}), Job)
 
 entries = st.builds(
-    Entry,
+    TaskEntry,
     index=st.integers(0, 999),
     stage=st.sampled_from([0, 1, 2]),
     attempt=st.integers(0, 2**40),
@@ -36,13 +36,15 @@
 
 
 @given(st.lists(entries, max_size=5), st.sets(st.integers(0, 999), max_size=40), st.floats(0, 2e9))
-def test_a_record_survives_the_wire(held: list[Entry], done: set[int], at: float) -> None:
+def test_a_record_survives_the_wire(held: list[TaskEntry], done: set[int], at: float) -> None:
     ranges: list[tuple[int, int]] = []
     for index in done:
-        ranges = add_done(ranges, index)
-    record = JobRecord(SPEC, at, entries=held, done=ranges, errors=3, failed_on=["i-1"])
-    plain = msgspec.msgpack.decode(encode(dump(record)))
-    assert parse(records.job_key(JobId("job-1")), plain) == record
+        ranges = add_to_ranges(ranges, index)
+    record = JobRecord(
+        SPEC, at, entries=held, done_ranges=ranges, failure_count=3, failed_on=["i-1"]
+    )
+    plain = msgspec.msgpack.decode(encode(encode_record(record)))
+    assert decode_record(records.job_key(JobId("job-1")), plain) == record
 
 
 def test_a_gang_of_hundreds_fits_one_value() -> None:
@@ -51,28 +53,30 @@
     places = sorted((f"worker-{i % 5}", "gauteng-rack", f"i-{i:06d}", 1) for i in range(700))
     record = jobs.place_gang(places)(JobRecord(spec, 0.0))
     assert isinstance(record, JobRecord)
-    plain = dump(record)
-    assert codec.size(plain) < 8 * 1024
-    assert parse(records.job_key(JobId("job-1")), plain) == record
+    plain = encode_record(record)
+    assert codec.json_size_bytes(plain) < 8 * 1024
+    assert decode_record(records.job_key(JobId("job-1")), plain) == record
 
 
 @given(st.lists(st.integers(0, 60), max_size=80))
 def test_done_ranges_hold_exactly_what_is_done(indices: list[int]) -> None:
     ranges: list[tuple[int, int]] = []
     for index in indices:
-        ranges = add_done(ranges, index)
+        ranges = add_to_ranges(ranges, index)
     held = [i for low, high in ranges for i in range(low, high + 1)]
     assert held == sorted(set(indices))
     assert all(a[1] + 1 < b[0] for a, b in pairwise(ranges))
-    job = JobRecord(SPEC, 0.0, done=ranges)
-    waiting = job.waiting(1000)
+    job = JobRecord(SPEC, 0.0, done_ranges=ranges)
+    waiting = job.waiting_indices(1000)
     assert sorted([*waiting, *held]) == list(range(1000))
 
 
 outcomes = st.lists(st.sampled_from(["ok", "lost", "mute", "refused", "other"]), max_size=40)
 
 
-def carry_out(step: str, store: StateStore, queue: CommitQueue, batch: Batch, now: Moment) -> None:
+def carry_out(
+    step: str, store: StateStore, queue: CommitQueue, batch: Batch, now: MonotonicTime
+) -> None:
     """What becomes of a transaction, and what its sender learns of it."""
     if step == "refused":
         queue.refused(batch, now, 0.1)
@@ -97,21 +101,21 @@
     queue = CommitQueue(view, txn_ops=4, value_kb=16, write_rps=1000)
     told: dict[int, list[bool]] = {i: [] for i in range(count)}
     key = records.job_key(JobId("job-1"))
-    store.set(key, dump(JobRecord(SPEC, 0.0)))
+    store.set(key, encode_record(JobRecord(SPEC, 0.0)))
     view.put(key, store.keys[key][0], store.keys[key][1])
 
     def take(index: int) -> Edit:
         def done(ok: bool, why: str) -> None:
             told[index].append(ok)
 
-        return Edit(key, jobs.deal([jobs.Dealt(index, "n0", "a", "i-1")]), done=done)
+        return Edit(key, jobs.deal([jobs.Dealt(index, "n0", "a", "i-1")]), on_settled=done)
 
     for index in range(count):
         assert queue.propose(take(index))
-    now = Moment(1.0)
+    now = MonotonicTime(1.0)
     steps = iter([*plan, *["ok"] * 60])
     for step in steps:
-        now = Moment(now + 1.0)
+        now = MonotonicTime(now + 1.0)
         for stale in queue.stale_keys():
             value, stamp, _ = store.keys[stale]
             view.put(stale, value, stamp)
@@ -123,7 +127,7 @@
             value, _, _ = store.keys[key]
             store.set(key, value)
         carry_out(step, store, queue, batch, now)
-    record: Any = parse(key, store.keys[key][0])
+    record: Any = decode_record(key, store.keys[key][0])
     held = [e.index for e in record.entries]
     assert sorted(held) == sorted(set(held))
     for index, answers in told.items():
@@ -146,36 +150,39 @@
     view = View()
     queue = CommitQueue(view, txn_ops=4, value_kb=16, write_rps=1000)
     key = records.job_key(JobId("job-1"))
-    placed = JobRecord(SPEC, 0.0, entries=[Entry(0, 1, 1, "n0", "a", "i-1", 1)])
-    view.put(key, dump(placed), 5)
+    placed = JobRecord(SPEC, 0.0, entries=[TaskEntry(0, 1, 1, "n0", "a", "i-1", 1)])
+    view.put(key, encode_record(placed), 5)
     said: list[tuple[bool, str]] = []
     for _ in range(2):
-        queue.propose(Edit(key, jobs.cancel(), done=lambda ok, why: said.append((ok, why))))
-    batch = queue.next_batch(Moment(1.0))
+        queue.propose(Edit(key, jobs.cancel(), on_settled=lambda ok, why: said.append((ok, why))))
+    batch = queue.next_batch(MonotonicTime(1.0))
     assert batch is not None
     assert said == []
     queue.applied(batch, 6)
     assert said == [(True, "")]
-    assert queue.next_batch(Moment(2.0)) is None
+    assert queue.next_batch(MonotonicTime(2.0)) is None
     assert said == [(True, ""), (False, "cancelled")]
 
 
 def test_an_edit_of_a_former_roster_is_dropped() -> None:
     view = View()
     queue = CommitQueue(view, txn_ops=4, value_kb=16, write_rps=1000)
-    view.put(records.ROSTER, ["n0", []], 7)
+    view.put(records.ROSTER_KEY, ["n0", []], 7)
     said: list[str] = []
     queue.propose(
         Edit(
-            "cf/p/x", lambda _: records.PoolRecord(), fence=6, done=lambda _, why: said.append(why)
+            "cf/p/x",
+            lambda _: records.PoolRecord(),
+            fencing_token=6,
+            on_settled=lambda _, why: said.append(why),
         )
     )
-    assert queue.next_batch(Moment(1.0)) is None
+    assert queue.next_batch(MonotonicTime(1.0)) is None
     assert said == ["fenced"]
 
 
 def test_void_edits_say_why() -> None:
-    done = JobRecord(SPEC, 0.0, done=[(0, 3)])
+    done = JobRecord(SPEC, 0.0, done_ranges=[(0, 3)])
     place_again = jobs.place("n0", [jobs.Task(2, 0, "a", "i-1", 1)])
     with pytest.raises(NotApplicableError, match=r"^nothing of it is ours to place$"):
         place_again(done)
@@ -211,7 +218,7 @@
     assert answer.status == 201
     for number in range(round(rate) + 2):
         change = jobs.accept(SPEC, 0.0)
-        world.core.queue.propose(Edit(f"cf/j/job-9{number}", change, rank=FIRST))
+        world.core.queue.propose(Edit(f"cf/j/job-9{number}", change, priority=HIGH_PRIORITY))
     world.core.submit(encode(JOB | {"NameId": "job-2"}), 999)
     world.settle()
     assert world.answers[999].status == 503
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -33,7 +33,7 @@
 from coursefold.coordination.effects import Answer
 from coursefold.protocol.ids import JobId
 from coursefold.storage import records
-from coursefold.storage.records import DEALT
+from coursefold.storage.records import ASSIGNED
 from tests.world import World
 
 TRACES = sorted((Path(__file__).parent / "traces").glob("*.trace"))
@@ -141,13 +141,13 @@
         return ""
 
     def do_switch(self, words: list[str]) -> str:
-        self.world.store.set(records.LEVEL, [records.OURS])
+        self.world.store.set(records.FORMAT_LEVEL_KEY, [records.BASE_LEVEL])
         return ""
 
     def do_version(self, words: list[str]) -> str:
         member = self.world.core.view.members.get(words[0])
-        permit = 0 if words[1:] == ["none"] or member is None else member.permit
-        self.world.store.set(records.VERSIONS + words[0], [records.OURS, permit])
+        permit = 0 if words[1:] == ["none"] or member is None else member.lease_id
+        self.world.store.set(records.VERSION_PREFIX + words[0], [records.BASE_LEVEL, permit])
         return ""
 
     def do_restart(self, words: list[str]) -> str:
@@ -158,7 +158,7 @@
         job, _, index = words[0].partition("/")
         record = self.world.core.view.jobs.get(JobId(job))
         found = [e for e in record.entries if e.index == int(index)] if record else []
-        if not found or found[0].stage == DEALT:
+        if not found or found[0].stage == ASSIGNED:
             return "nothing"
         return f"{found[0].machine}#{found[0].attempt}"
 
@@ -179,7 +179,7 @@
     def do_peer(self, words: list[str]) -> str:
         fields = fields_of(words[1:])
         known = self.world.core.view.members.get(words[0])
-        permit = known.permit if known and fields.get("lease") == "same" else 0
+        permit = known.lease_id if known and fields.get("lease") == "same" else 0
         told = {"none": None, "nothing": {}}.get(
             fields.get("told", "none"), {fields.get("told", ""): 1}
         )
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,13 +14,20 @@
 from coursefold.coordination import jobs as edits
 from coursefold.coordination import summary
 from coursefold.protocol import peer_pb2
-from coursefold.protocol.ids import JobId, Moment
+from coursefold.protocol.ids import JobId, MonotonicTime
 from coursefold.protocol.wire import Job, decode, encode
 from coursefold.storage import codec, records, spreading
 from coursefold.storage.edits import Edit
-from coursefold.storage.limits import Limits
+from coursefold.storage.limits import StateServiceLimits
 from coursefold.storage.queue import CommitQueue
-from coursefold.storage.records import Ending, Entry, JobRecord, Level, MemberRecord, Roster
+from coursefold.storage.records import (
+    Ending,
+    FormatLevel,
+    JobRecord,
+    MemberRecord,
+    Roster,
+    TaskEntry,
+)
 from coursefold.storage.view import View
 from tests import test_fleet as days
 from tests.fleet import NODES, Fleet, RuleBrokenError
@@ -37,16 +44,16 @@
 
 def test_production_reads_what_we_write_before_the_switch(old: Version) -> None:
     """It drops the fields that it does not know, and keeps all others."""
-    entries = [Entry(0, records.PLACED, 3, "n1", "a", "i-000007", 2)]
+    entries = [TaskEntry(0, records.PLACED, 3, "n1", "a", "i-000007", 2)]
     job = JobRecord(SPEC, 5.0, 0, 3, entries, [(1, 2)], 1, 9.5, ["i-1"])
     roster = Roster("n0", [MemberRecord("n0", 4, "a"), MemberRecord("n1", 5, "b")])
     for key, record in (
         (records.job_key(JobId("job-1")), job),
         (records.job_key(JobId("job-2")), Ending(records.DONE, 3)),
-        (str(records.ROSTER), roster),
+        (str(records.ROSTER_KEY), roster),
     ):
-        theirs = old.records.parse(key, codec.dump(record, 0))
-        assert codec.parse(key, old.records.dump(theirs)) == record
+        theirs = old.records.decode_record(key, codec.encode_record(record, 0))
+        assert codec.decode_record(key, old.records.encode_record(theirs)) == record
 
 
 def test_kept_bytes_of_production_are_read() -> None:
@@ -54,9 +61,9 @@
     kept = json.loads((ROOT / "tests" / "kept" / "production.json").read_text())
     assert kept["version"] == commit()
     for key, value in kept["records"].items():
-        record = codec.parse(key, value)
+        record = codec.decode_record(key, value)
         assert record is not None
-        ours = codec.dump(record, 0)
+        ours = codec.encode_record(record, 0)
         # What we leave out at the end is what production takes for granted.
         assert value[: len(ours)] == ours if isinstance(value, list) else value == ours
         assert not isinstance(value, list) or not any(value[len(ours) :])
@@ -90,8 +97,8 @@
 
 def test_production_takes_no_harm_from_keys_it_does_not_know(old: Version) -> None:
     view = old.view.View()
-    view.put(records.version_key("n0"), codec.dump(records.Version(1, 7)), 3)
-    view.put(str(records.LEVEL), codec.dump(Level(1)), 4)
+    view.put(records.version_key("n0"), codec.encode_record(records.MemberVersion(1, 7)), 3)
+    view.put(str(records.FORMAT_LEVEL_KEY), codec.encode_record(FormatLevel(1)), 4)
     view.put(spreading.part_key("cf/j/job-1", 1), "text", 5)
     assert view.held == {}
     assert not view.jobs
@@ -101,23 +108,26 @@
     """It starts all the same, and finds no roster and no machine types."""
     world = World()
     world.run(2.0)
-    world.store.set(records.LEVEL, [1, ["n2"]])  # n2 had stayed down, and was given up
+    world.store.set(records.FORMAT_LEVEL_KEY, [1, ["n2"]])  # n2 had stayed down, and was given up
     world.run(6.0)
     assert world.core.ctx.leading()
-    assert str(records.CATALOG) not in world.store.keys
+    assert str(records.CATALOG_KEY) not in world.store.keys
     view = old.view.View()
     view.reload([(r["K"], r["Value"], r["Stamp"]) for r in world.store.rows("cf/")], 99)
     assert view.roster is None
     assert view.catalog is None
-    assert codec.parse(records.ROSTER, world.store.keys[str(records.ROSTER)][0]) is not None
+    assert (
+        codec.decode_record(records.ROSTER_KEY, world.store.keys[str(records.ROSTER_KEY)][0])
+        is not None
+    )
 
 
 # The switch
 
 
 def announce(world: World, member: str, level: int = 1) -> None:
-    permit = world.store.keys[records.MEMBERS + member][0][1]
-    world.store.set(records.VERSIONS + member, [level, permit])
+    permit = world.store.keys[records.MEMBER_PREFIX + member][0][1]
+    world.store.set(records.VERSION_PREFIX + member, [level, permit])
 
 
 def test_nothing_is_switched_before_every_controller_has_shown_its_version() -> None:
@@ -140,15 +150,15 @@
 
 def test_a_controller_that_was_upgraded_and_is_down_does_not_hold_the_switch_back() -> None:
     world = World()
-    world.store.set(records.VERSIONS + "n1", [1, 77])
-    world.store.set(records.VERSIONS + "n2", [1, 78])
+    world.store.set(records.VERSION_PREFIX + "n1", [1, 77])
+    world.store.set(records.VERSION_PREFIX + "n2", [1, 78])
     world.run(4.0)
     assert world.core.view.level == 1
 
 
 def test_a_controller_that_stays_down_holds_it_back_for_minutes_only() -> None:
     world = World()
-    world.store.set(records.VERSIONS + "n1", [1, 77])
+    world.store.set(records.VERSION_PREFIX + "n1", [1, 77])
     world.run(200.0)
     assert world.core.view.level == 0
     world.run(320.0)
@@ -158,21 +168,21 @@
 def test_a_version_taken_back_counts_no_more() -> None:
     """n1 was new, and came back old: its lease is not the one that it showed."""
     world = World()
-    world.store.set(records.VERSIONS + "n1", [1, 77])
+    world.store.set(records.VERSION_PREFIX + "n1", [1, 77])
     world.join("n1", "b")
     world.join("n2", "a")
     announce(world, "n2")
     world.run(4.0)
     assert world.core.view.level == 0
     world.run(9.0)
-    assert records.VERSIONS + "n1" not in world.store.keys
+    assert records.VERSION_PREFIX + "n1" not in world.store.keys
     world.run(12.0)
     assert world.core.view.level == 0
 
 
 def test_all_restarting_does_not_lose_the_switch() -> None:
     world = World()
-    world.store.set(records.LEVEL, [1])
+    world.store.set(records.FORMAT_LEVEL_KEY, [1])
     world.restart()
     world.run(4.0)
     assert world.core.view.level == 1
@@ -259,9 +269,11 @@
     """Limits lowered after the roll, in the middle of it, and while pipelines come."""
     fleet = mixed(seed, old, limits_at, every)
     store = fleet.store
-    assert store.keys[str(records.LEVEL)][0][0] == records.OURS
+    assert store.keys[str(records.FORMAT_LEVEL_KEY)][0][0] == records.BASE_LEVEL
     days.nothing_lost(fleet)
-    late = [k for k in store.keys if codec.size(store.keys[k][0]) > NEXT["value_kb"] * 1024]
+    late = [
+        k for k in store.keys if codec.json_size_bytes(store.keys[k][0]) > NEXT["value_kb"] * 1024
+    ]
     assert late == []
     assert sum(j.told == "cancelled" and bool(j.needs) for j in fleet.jobs.values()) > 3
 
@@ -284,16 +296,16 @@
         from tests.standins.state import StateStore
 
         self.store, self.view = StateStore(), View()
-        later = Limits(5, 2048, 15.0)
+        later = StateServiceLimits(5, 2048, 15.0)
         self.queue = CommitQueue(self.view, txn_ops=16, value_kb=16, write_rps=1000, later=later)
         if level:
-            self.view.keep(records.LEVEL, Level(level), 1)
+            self.view.keep(records.FORMAT_LEVEL_KEY, FormatLevel(level), 1)
 
     def run(self, rounds: int = 60) -> int:
         """Commit what waits; how many transactions were refused."""
         refused = 0
         for at in range(1, rounds):
-            batch = self.queue.next_batch(Moment(float(at)))
+            batch = self.queue.next_batch(MonotonicTime(float(at)))
             if batch is None:
                 continue
             status, body = self.store.commit(float(at), batch.body)
@@ -317,13 +329,13 @@
     lowered = Lowered(0)
     lowered.queue.slower()
     assert lowered.queue.limits.write_rps == 1000
-    lowered.view.keep(records.LEVEL, Level(1), 1)
+    lowered.view.keep(records.FORMAT_LEVEL_KEY, FormatLevel(1), 1)
     lowered.queue.share(True, 5)
-    assert lowered.queue.limits == Limits(5, 2048, 1000)
+    assert lowered.queue.limits == StateServiceLimits(5, 2048, 1000)
     before = lowered.queue.budget.rate
     lowered.queue.slower()
     lowered.queue.share(True, 5)
-    assert lowered.queue.limits == Limits(5, 2048, 15.0)
+    assert lowered.queue.limits == StateServiceLimits(5, 2048, 15.0)
     assert lowered.queue.budget.rate < before / 50
     assert lowered.queue.first.rate == 7.5
 
@@ -338,11 +350,11 @@
             Edit(
                 key,
                 lambda _, r=record: r,  # type: ignore[misc]
-                permit=permit,
-                done=lambda ok, _, k=key: said.append((k, ok)),  # type: ignore[misc]
+                lease_id=permit,
+                on_settled=lambda ok, _, k=key: said.append((k, ok)),  # type: ignore[misc]
             )
         )
-    batch = lowered.queue.next_batch(Moment(1.0))
+    batch = lowered.queue.next_batch(MonotonicTime(1.0))
     assert batch is not None
     assert lowered.store.commit(1.0, batch.body)[0] == 400
     lowered.queue.lease_gone(batch)
@@ -357,7 +369,9 @@
     lowered.store.txn_ops, lowered.store.value_bytes = 5, 100
     said: list[str] = []
     key = records.job_key(JobId("job-1"))
-    lowered.queue.propose(Edit(key, edits.accept(SPEC, 0.0), done=lambda _, why: said.append(why)))
+    lowered.queue.propose(
+        Edit(key, edits.accept(SPEC, 0.0), on_settled=lambda _, why: said.append(why))
+    )
     assert lowered.run() == 1
     assert said == ["refused"]
     assert not lowered.queue.waiting
@@ -365,14 +379,16 @@
     lowered = Lowered(0)
     lowered.store.value_bytes = 2048
     many = Roster("n0", [MemberRecord(f"n{n}", n, "a") for n in range(300)])
-    lowered.queue.propose(Edit("cf/roster", lambda _: many, done=lambda _, why: said.append(why)))
+    lowered.queue.propose(
+        Edit("cf/roster", lambda _: many, on_settled=lambda _, why: said.append(why))
+    )
     assert lowered.run() == 2
     assert said == ["refused", "refused"]
 
 
 def gang_of(count: int) -> JobRecord:
     entries = [
-        Entry(i, records.PLACED, 1, f"worker-{i % 3}", "a", f"i-{i * 37 % 9973:06d}", 1)
+        TaskEntry(i, records.PLACED, 1, f"worker-{i % 3}", "a", f"i-{i * 37 % 9973:06d}", 1)
         for i in range(count)
     ]
     return JobRecord(SPEC, 0.0, attempt=1, entries=entries)
@@ -386,7 +402,7 @@
     for number in range(40):
         key = records.job_key(JobId(f"job-{number}"))
         lowered.queue.propose(
-            Edit(key, edits.accept(SPEC, 0.0), done=lambda ok, _: said.append(ok))
+            Edit(key, edits.accept(SPEC, 0.0), on_settled=lambda ok, _: said.append(ok))
         )
     refused = lowered.run()
     assert said == [True] * 40
@@ -403,18 +419,18 @@
     lowered.queue.propose(Edit(key, lambda _: big))
     assert lowered.run(5) == 0
     assert lowered.seen().jobs == {"job-1": big}
-    parts = [k for k in lowered.store.keys if k.startswith(records.PARTS)]
+    parts = [k for k in lowered.store.keys if k.startswith(records.PART_PREFIX)]
     assert 1 <= len(parts) <= 4
     small = msgspec.structs.replace(big, entries=big.entries[:2])
     lowered.queue.propose(Edit(key, lambda _: small))
     lowered.run(5)
-    assert not any(k.startswith(records.PARTS) for k in lowered.store.keys)
+    assert not any(k.startswith(records.PART_PREFIX) for k in lowered.store.keys)
     assert lowered.seen().jobs == {"job-1": small}
     lowered.queue.propose(Edit(key, lambda _: big))
     lowered.run(5)
     lowered.queue.propose(Edit(key, lambda _: Ending(records.DONE, 4)))
     lowered.run(5)
-    assert not any(k.startswith(records.PARTS) for k in lowered.store.keys)
+    assert not any(k.startswith(records.PART_PREFIX) for k in lowered.store.keys)
 
 
 def test_before_the_switch_what_shrinks_a_large_record_waits() -> None:
@@ -428,11 +444,11 @@
     said: list[tuple[bool, str]] = []
     for number in range(2):
         gone = edits.gone(number, big.entries[number].machine, 1)
-        lowered.queue.propose(Edit(key, gone, done=lambda ok, why: said.append((ok, why))))
+        lowered.queue.propose(Edit(key, gone, on_settled=lambda ok, why: said.append((ok, why))))
     assert lowered.run(9) == 1
     assert said == []
     assert lowered.seen().jobs == {"job-1": big}
-    lowered.view.keep(records.LEVEL, Level(1), 90)
+    lowered.view.keep(records.FORMAT_LEVEL_KEY, FormatLevel(1), 90)
     lowered.queue.share(True, 5)
     lowered.run(9)
     assert said == [(True, "")] * 2
@@ -441,22 +457,24 @@
 
 def test_large_records_are_brought_over_in_the_background() -> None:
     world = World()
-    value = codec.dump(gang_of(300))
+    value = codec.encode_record(gang_of(300))
     world.store.set(records.job_key(JobId("job-1")), value)
     queue = world.core.queue
-    queue.later = Limits(5, 2048, 15.0)
-    world.store.set(records.LEVEL, [1])
+    queue.later = StateServiceLimits(5, 2048, 15.0)
+    world.store.set(records.FORMAT_LEVEL_KEY, [1])
     world.run(6.0)
     stored = world.store.keys[records.job_key(JobId("job-1"))][0]
-    assert codec.size(stored) <= 2048
-    assert not any(codec.size(v) > 2048 for k, (v, _, _) in world.store.keys.items() if "/j/" in k)
+    assert codec.json_size_bytes(stored) <= 2048
+    assert not any(
+        codec.json_size_bytes(v) > 2048 for k, (v, _, _) in world.store.keys.items() if "/j/" in k
+    )
 
 
 def test_parts_and_heads_may_come_in_any_order() -> None:
     """Parts carry their head's Stamp; those of another Stamp are never put together."""
     key = records.job_key(JobId("job-1"))
     big = gang_of(320)
-    head, parts = spreading.spread(codec.dump(big), 2048)
+    head, parts = spreading.spread(codec.encode_record(big), 2048)
     rows = [(key, head), *((spreading.part_key(key, n), t) for n, t in enumerate(parts, 1))]
     assert len(rows) > 1
     for order in (rows, rows[::-1]):
@@ -495,7 +513,7 @@
         roll(fleet, 12.0, 6.0)
         fleet.run(70.0)
         assert all(n.version is then for n in fleet.nodes)
-        rosters.append(sum(n.get("Set") == str(records.ROSTER) for n in fleet.store.news))
+        rosters.append(sum(n.get("Set") == str(records.ROSTER_KEY) for n in fleet.store.news))
     assert rosters[0] <= rosters[1] + 2
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -12,7 +12,7 @@
 from coursefold.coordination.core import Core
 from coursefold.coordination.effects import Answer, CloudCall, Direct, Read, Tell, Vouch
 from coursefold.protocol import peer_pb2
-from coursefold.protocol.ids import JobId, Moment, WallTime
+from coursefold.protocol.ids import JobId, MonotonicTime, WallTime
 from coursefold.protocol.wire import Catalog, encode
 from coursefold.settings import Settings
 from coursefold.storage import codec, records
@@ -86,7 +86,7 @@
         self.frames = 0
         self.answers: dict[int, Answer] = {}
         self.direct: list[Direct] = []
-        self.store.set(records.CATALOG, msgspec.to_builtins(self._catalog()))
+        self.store.set(records.CATALOG_KEY, msgspec.to_builtins(self._catalog()))
         self.restart()
 
     @staticmethod
@@ -102,7 +102,7 @@
     # Time
 
     def enter(self) -> Core:
-        self.core.at(Moment(100.0 + self.now), WallTime(EPOCH + self.now))
+        self.core.at(MonotonicTime(100.0 + self.now), WallTime(EPOCH + self.now))
         return self.core
 
     def run(self, until: float) -> None:
@@ -126,7 +126,7 @@
         raise AssertionError("the core never comes to rest")
 
     def _heard(self) -> None:
-        self.core.ctx.state_ok_at = Moment(100.0 + self.now)
+        self.core.ctx.state_ok_at = MonotonicTime(100.0 + self.now)
 
     def _lease(self) -> None:
         ctx = self.core.ctx
@@ -135,7 +135,7 @@
             return
         if not ctx.permit or not self.store.touch(self.now, ctx.permit):
             ctx.permit = self.store.grant(self.now, LIFE_MS)
-        ctx.lease_until = Moment(100.0 + self.now + LIFE_MS / 1000)
+        ctx.lease_until = MonotonicTime(100.0 + self.now + LIFE_MS / 1000)
         self._heard()
 
     def _news(self) -> None:
@@ -152,18 +152,18 @@
                 else:
                     view.drop(item["Remove"], item["Stamp"])
         self.followed = view.ledger = self.store.ledger
-        self.core.ctx.follow_ok_at = Moment(100.0 + self.now)
+        self.core.ctx.follow_ok_at = MonotonicTime(100.0 + self.now)
 
     def _commit(self) -> bool:
         queue = self.core.queue
-        now = Moment(100.0 + self.now)
+        now = MonotonicTime(100.0 + self.now)
         reread = False
         for key in queue.stale_keys():
             if self.state == "up":
                 reread = True
                 self._news()
-                ended = self.store.row(key.replace(records.JOBS, records.ENDINGS))
-                if key.startswith(records.JOBS) and key not in self.store.keys and ended:
+                ended = self.store.row(key.replace(records.JOB_PREFIX, records.ENDING_PREFIX))
+                if key.startswith(records.JOB_PREFIX) and key not in self.store.keys and ended:
                     queue.over(key)
                 queue.refreshed(key)
         batch = queue.next_batch(now)
@@ -210,7 +210,7 @@
             return
         key = records.ending_key(JobId(read.job))
         row = self.store.row(key)
-        record = codec.parse(key, row["Value"]) if row is not None else None
+        record = codec.decode_record(key, row["Value"]) if row is not None else None
         self.core.read(read.ticket, record if isinstance(record, Ending) else None)
 
     def _vouch(self) -> None:
@@ -286,7 +286,7 @@
     def join(self, member: str, zone: str) -> None:
         """Another controller joins, and holds its lease."""
         permit = self.store.grant(self.now, 3_600_000)
-        self.store.set(records.MEMBERS + member, [member, permit, zone], permit)
+        self.store.set(records.MEMBER_PREFIX + member, [member, permit, zone], permit)
 
     def peer_frame(
         self,
@@ -324,6 +324,6 @@
         """Another node becomes the only member of the roster."""
         permit = self.store.grant(self.now, 3_600_000)
         member = [leader, permit, zone]
-        self.store.set(records.MEMBERS + leader, member, permit)
-        self.store.set(str(records.ROSTER), [leader, [member]])
+        self.store.set(records.MEMBER_PREFIX + leader, member, permit)
+        self.store.set(str(records.ROSTER_KEY), [leader, [member]])
         self._news()
