--- a/coursefold/protocol/__init__.py
+++ b/coursefold/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What goes over the wire: message shapes, their limits, and the small types."""
+"""Messages on the network: their fields, limits and encodings, and types for ids and times."""
--- a/coursefold/protocol/ids.py
+++ b/coursefold/protocol/ids.py
@@ -1,30 +1,30 @@
-"""Ids, versions and times: small types of their own, so that they cannot be mixed up."""
+"""Types for ids, versions and points in time, so that a type checker finds mixed-up arguments."""
 
 import re
 from typing import NamedTuple, NewType
 
 JobId = NewType("JobId", str)
 MachineId = NewType("MachineId", str)
-MemberName = NewType("MemberName", str)
+MemberName = NewType("MemberName", str)  # a controller
 Zone = NewType("Zone", str)
 MachineTypeName = NewType("MachineTypeName", str)
-Key = NewType("Key", str)
+Key = NewType("Key", str)  # of the state service
 
-Token = NewType("Token", int)  # Stamp of the roster: who may give commands
-KeyVersion = NewType("KeyVersion", int)  # revision of a key's last change
-LeaseId = NewType("LeaseId", int)  # lease at the state service; a process's incarnation
-Session = NewType("Session", int)  # the worker's `Shift`
-SequenceNumber = NewType("SequenceNumber", int)
+Token = NewType("Token", int)  # fencing token: the version of the roster's key
+KeyVersion = NewType("KeyVersion", int)  # the revision in which a key was last changed
+LeaseId = NewType("LeaseId", int)  # at the state service; identifies a controller's process
+Session = NewType("Session", int)  # of a worker's process; `Shift` on the wire
+SequenceNumber = NewType("SequenceNumber", int)  # of a worker's reports within a session
 Attempt = NewType("Attempt", int)
 
-MonotonicTime = NewType("MonotonicTime", float)  # steady clock, seconds
-WallTime = NewType("WallTime", float)  # time of day, seconds
+MonotonicTime = NewType("MonotonicTime", float)  # seconds on a clock that is never set
+WallTime = NewType("WallTime", float)  # time of day, in seconds since the epoch
 
 _JOB_ID = re.compile(r"job-[0-9]{1,32}")
 
 
 class TaskId(NamedTuple):
-    """`job-000412/3`."""
+    """A task of a job, written as `job-000412/3`; tasks are numbered from 0."""
 
     job: JobId
     number: int
@@ -34,12 +34,15 @@
 
 
 def is_job_id(text: str) -> bool:
-    """True for ids in the documented form."""
+    """Return whether the text is `job-` followed by 1 to 32 digits."""
     return _JOB_ID.fullmatch(text) is not None
 
 
 def parse_task_id(text: str) -> TaskId | None:
-    """A task's name as the workers write it, or None if it is none."""
+    """Parse a task's id as workers write it; returns None if the text is not one.
+
+    The number has at most six digits and no leading zeros.
+    """
     job, slash, index = text.partition("/")
     if not slash or not is_job_id(job) or not (index.isascii() and index.isdigit()):
         return None
