--- a/coursefold/storage/edits.py
+++ b/coursefold/storage/edits.py
@@ -1,6 +1,6 @@
 """Edits: changes of single records, as functions from the current record to the next one.
 
-So an edit can be tried again after a conflict, and is dropped when it no longer applies.
+An edit can therefore be retried after a conflict, and is dropped when it no longer applies.
 """
 
 from collections.abc import Callable
@@ -14,25 +14,39 @@
 
 
 class NotApplicableError(Exception):
-    """Raised by an edit that no longer applies; its text says why."""
+    """Raised by an edit that no longer applies; the text is the reason."""
 
 
 class DeleteKey(NamedTuple):
-    """An edit's result: the key goes."""
+    """Result of an edit that deletes the key."""
 
 
 class ArchiveEnding(NamedTuple):
-    """An edit's result: an ended job's final record moves to where it stays for good."""
+    """Result of an edit that moves an ended job's final record to its permanent key."""
 
     ending: records.Ending
 
 
 EditResult = Struct | DeleteKey | ArchiveEnding
-Change = Callable[[Struct | None], EditResult]
+Change = Callable[[Struct | None], EditResult]  # from the current record, None if there is none
 
 
 class Edit:
-    """One change of one key. `fenced` edits hold only under the roster they were made for."""
+    """One change of one key.
+
+    Attributes:
+        key: The key of the state service.
+        change: Computes the next record from the current one, or raises NotApplicableError.
+        priority: HIGH_PRIORITY, NORMAL_PRIORITY or LOW_PRIORITY.
+        fencing_token: The roster's version under which alone the edit may be committed;
+            None: under any.
+        on_settled: Called once with the result: whether the edit was committed, and the reason
+            if it was not.
+        lease_id: The lease that the key is attached to; None: the key does not expire.
+        tag: Of edits with the same key and tag only one is pending at a time; empty: any number.
+        try_count: Failed attempts so far.
+        conflict_count: Those among them that ended in a conflict.
+    """
 
     __slots__ = (
         "change",
@@ -68,6 +82,6 @@
         self.conflict_count = 0
 
     def settle(self, ok: bool, why: str = "") -> None:
-        """Tell the proposer what became of the edit."""
+        """Report the edit's result to its proposer."""
         if self.on_settled is not None:
             self.on_settled(ok, why)
--- a/coursefold/storage/limits.py
+++ b/coursefold/storage/limits.py
@@ -1,4 +1,4 @@
-"""What the state service takes, and budgets that keep a node within rates."""
+"""Limits of the state service, and a token bucket that keeps a controller within its rate."""
 
 from typing import NamedTuple
 
@@ -6,28 +6,43 @@
 
 
 class StateServiceLimits(NamedTuple):
-    """What the state service takes."""
+    """The largest transaction and value, and the highest rate, that the state service accepts.
+
+    Attributes:
+        txn_ops: Changes in one transaction.
+        value_bytes: Size of one value.
+        write_rps: Changes per second, of all controllers together.
+    """
 
     txn_ops: int
-    value_bytes: int  # bytes
+    value_bytes: int
     write_rps: float
 
 
 class TokenBucket:
-    """A token bucket; local, for nodes share the service's rate without asking each other."""
+    """A token bucket for this controller's part of the state service's rate.
+
+    Each controller keeps its own: they divide the rate between them without asking each other.
+
+    Attributes:
+        rate: Amount per second that is added.
+        burst: The most that is kept.
+        available: What may be spent now; negative after an overdraft.
+        refilled_at: When `available` was last brought up to date.
+    """
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate, self.burst = rate, burst
         self.available, self.refilled_at = burst, MonotonicTime(0.0)
 
     def refill(self, now: MonotonicTime) -> float:
-        """Add what has come in since the last look; how much there is."""
+        """Add what has accrued since the last call, and return what is available."""
         if now > self.refilled_at:
             self.available = min(self.burst, self.available + (now - self.refilled_at) * self.rate)
             self.refilled_at = now
         return self.available
 
     def spend(self, now: MonotonicTime, amount: float) -> None:
-        """Spend an amount."""
+        """Spend an amount, even if less than that is available."""
         self.refill(now)
         self.available -= amount
