--- a/coursefold/storage/cell_records.py
+++ b/coursefold/storage/cell_records.py
@@ -1,8 +1,9 @@
-"""Records of work that moves between cells.
+"""Records of jobs that run in another cell than the one that accepted them.
 
-A job that runs in another cell keeps its record at home, with `Away` in it. The cell that
-runs it, the guest cell, has a record of the same name, with `Guest` in it. `CellLink` holds
-until when a home cell lets all its guests run, as told on one side and as heard on the other.
+The cell that accepted a job, its home cell, keeps the job's record with a `Delegation` in it.
+The cell that runs the job, the guest cell, has a record under the same job id, with a `Guest` in
+it. A `CellLink` records until when a home cell permits all its guests in another cell to run:
+in the home cell as it was granted, and in the guest cell as it was received.
 """
 
 from enum import IntEnum
@@ -11,56 +12,59 @@
 
 
 class DelegationStage(IntEnum):
-    """How far the handover of a job to another cell has come, by its home cell's record."""
+    """Progress of a job's handover to another cell, in its home cell's record."""
 
-    HOME = 0  # it has come back; kept for its epoch and for the reason
-    OFFERED = 1  # the guest cell may reserve room, and may not start anything
-    GRANTED = 2  # the guest cell may start its tasks, for as long as the grant holds
-    RUNNING = 3  # the same, and it has said that tasks run
-    WITHDRAWN = 4  # the guest cell is to stop it; it comes back once that has proof
+    HOME = 0  # came back; the delegation is kept for its epoch and its reason
+    OFFERED = 1  # the guest cell may reserve capacity, but may not start anything
+    GRANTED = 2  # the guest cell may start the job's tasks while the grant is valid
+    RUNNING = 3  # as GRANTED, and the guest cell has reported running tasks
+    WITHDRAWN = 4  # the guest cell is to stop the job, which comes back once that is proven
 
 
 class Delegation(Struct, array_like=True, frozen=True):
-    """Where a job was handed to. `epoch` counts its offers and never falls."""
+    """The cell that a job was handed to."""
 
     guest_cell: str
-    epoch: int
+    epoch: int  # counts the job's offers; never decreases
     stage: DelegationStage
-    stage_started_at: float  # when the stage began, time of day
-    reservation: str = ""  # the guest cell's own name of it, never used again
-    expected_home_s: float = 0.0  # seconds until its start, when it was offered
+    stage_started_at: float  # time of day
+    reservation: str = ""  # id given by the guest cell, which never uses it again
+    # Seconds until the job's start that were expected when it was offered, in either cell.
+    expected_home_s: float = 0.0
     expected_guest_s: float = 0.0
     why: str = ""  # why it was offered, or why it came back
 
 
 class GuestStage(IntEnum):
-    """What the guest cell may do with a job, by its own record."""
+    """What the guest cell may do with a job, in its own record."""
 
-    RESERVED = 1  # counted as promised; nothing starts
-    GRANTED = 2  # its tasks are placed like any others, while the grant holds
-    RELEASED = 3  # no task is left, and none will start; its home has not confirmed it yet
-    FINISHED = 4  # all tasks are done; its home has not confirmed it yet
+    RESERVED = 1  # capacity is set aside for it; nothing starts
+    GRANTED = 2  # its tasks are placed like those of local jobs while the grant is valid
+    RELEASED = 3  # no task is left and none will start; not yet confirmed by the home cell
+    FINISHED = 4  # all tasks are done; not yet confirmed by the home cell
 
 
 class Guest(Struct, array_like=True, frozen=True):
-    """Whose job this is, and under which offer and reservation it is here."""
+    """The home cell of another cell's job, and the offer and reservation it is here under."""
 
     home_cell: str
-    epoch: int
+    epoch: int  # of the offer
     reservation: str
     stage: GuestStage
-    stage_started_at: float  # when the stage began, time of day
+    stage_started_at: float  # time of day
 
 
 class CellLink(Struct, array_like=True, frozen=True):
-    """How long guests may run: `granted_*` as we told the other cell, `held_*` as it told us.
+    """How long guests may run: `granted_*` to the other cell, `held_*` from it.
 
-    A moment is a time of day. The span beside it bounds the same on a steady clock: no more
-    than so many seconds lay between the record's writing and that moment.
+    The end of a grant is a time of day. The duration beside it is an upper bound of the time
+    from the writing of the record to that end. It is counted on a monotonic clock, so that the
+    grant is judged correctly also if the time of day is set.
     """
 
     granted_until: float = 0.0
     granted_s: float = 0.0
-    granted_lease_s: float = 0.0  # after it, workers there may run on so long: their lease
+    # How long workers of the guest cell may keep tasks running after the grant: their lease.
+    granted_lease_s: float = 0.0
     held_until: float = 0.0
     held_s: float = 0.0
--- a/coursefold/storage/codec.py
+++ b/coursefold/storage/codec.py
@@ -1,7 +1,7 @@
-"""Records as plain data for the wire, and back.
+"""Conversion of records to plain data for the state service, and back.
 
-Structs are encoded as lists, for values are limited to a few KiB and every change of a job
-writes its record whole.
+Structs become lists without field names: values are limited to a few KiB, and every change of a
+job writes its whole record.
 """
 
 from typing import Any
@@ -37,7 +37,7 @@
 
 
 class _Spec(Struct, array_like=True, frozen=True):
-    """A job's description without field names."""
+    """A job's description without field names. Its fields are copied by name to and from `Job`."""
 
     name: str
     job_class: str
@@ -62,11 +62,18 @@
 
 
 class EntryRun(Struct, array_like=True, frozen=True):
-    """Entries in a row that differ only by number and machine.
-
-    A gang of hundreds has one entry a task, and has to fit one value: its places are
-    ordered by owner, so that a few runs hold them all. Attempts are the same in a gang
-    and rise one by one in an array; `machines` are ends of names with a common prefix.
+    """Successive entries that differ only by task number and machine, and in attempts as below.
+
+    A gang of hundreds of tasks has an entry for each, and its record has to fit one value. Its
+    entries are ordered by owner, so that a few runs hold them all.
+
+    Attributes:
+        index: Number of the first task; the others follow one by one.
+        attempt: Attempt of the first task.
+        attempt_step: 0 if all attempts are the same, as in a gang; 1 if each is one higher than
+            the one before, as in an array.
+        prefix: The common start of the machines' names.
+        suffixes: The rest of each machine's name, separated by spaces.
     """
 
     index: int
@@ -77,53 +84,65 @@
     zone: str
     session: int
     prefix: str
-    machines: str
+    suffixes: str
 
 
 def common_prefix(names: list[str]) -> str:
-    """The longest start that all names share."""
+    """Return the longest prefix that all names have in common."""
     low, high = min(names), max(names)
-    for at, letter in enumerate(low):
-        if at >= len(high) or high[at] != letter:
-            return low[:at]
+    for index, letter in enumerate(low):
+        if index >= len(high) or high[index] != letter:
+            return low[:index]
     return low
 
 
 def pack_entries(entries: list[TaskEntry]) -> list[EntryRun]:
-    """Entries as runs, in the same order."""
+    """Convert entries to runs, in the same order."""
     runs: list[EntryRun] = []
-    at = 0
-    while at < len(entries):
-        first = entries[at]
-        rising = int(at + 1 < len(entries) and entries[at + 1].attempt == first.attempt + 1)
-        end = at + 1
+    start = 0
+    while start < len(entries):
+        first = entries[start]
+        attempt_step = int(
+            start + 1 < len(entries) and entries[start + 1].attempt == first.attempt + 1
+        )
+        end = start + 1
         while end < len(entries) and entries[end] == TaskEntry(
-            first.index + end - at, first.stage, first.attempt + rising * (end - at), first.owner,
-            first.zone, entries[end].machine, first.session,
+            first.index + end - start, first.stage, first.attempt + attempt_step * (end - start),
+            first.owner, first.zone, entries[end].machine, first.session,
         ):  # fmt: skip
             end += 1
-        names = [e.machine for e in entries[at:end]]
+        names = [entry.machine for entry in entries[start:end]]
         prefix = common_prefix(names)
-        ends = [name[len(prefix) :] for name in names]
-        if any(" " in name for name in ends):  # never seen; a name is the cloud's own
-            end, prefix, ends = at + 1, names[0], [""]
-        same = (first.owner, first.zone, first.session)
+        suffixes = [name[len(prefix) :] for name in names]
+        # Names are given by the cloud provider; one with a space gets a run of its own.
+        if any(" " in name for name in suffixes):
+            end, prefix, suffixes = start + 1, names[0], [""]
+        common = (first.owner, first.zone, first.session)
         run = EntryRun(
-            first.index, first.stage, first.attempt, rising, *same, prefix, " ".join(ends)
-        )
+            first.index, first.stage, first.attempt, attempt_step, *common, prefix,
+            " ".join(suffixes),
+        )  # fmt: skip
         runs.append(run)
-        at = end
+        start = end
     return runs
 
 
 def unpack_entries(runs: list[EntryRun]) -> list[TaskEntry]:
-    """The entries of runs."""
+    """Convert runs back to entries."""
     entries: list[TaskEntry] = []
-    for r in runs:
-        for k, name in enumerate(r.machines.split(" ")):
-            attempt, machine = r.attempt + r.attempt_step * k, r.prefix + name
+    for run in runs:
+        for offset, suffix in enumerate(run.suffixes.split(" ")):
+            attempt, machine = run.attempt + run.attempt_step * offset, run.prefix + suffix
             entries.append(
-                TaskEntry(r.index + k, r.stage, attempt, r.owner, r.zone, machine, r.session)
+                TaskEntry(
+                    run.index + offset,
+                    run.stage,
+                    attempt,
+                    run.owner,
+                    run.zone,
+                    machine,
+                    run.session,
+                )
             )
     return entries
 
@@ -145,31 +164,37 @@
 
 
 class _Roster(Struct, array_like=True, frozen=True):
-    """The roster since the switch. An old process cannot read it, so it never leads or owns."""
+    """The roster's second form, written once a format level is set.
+
+    A process of version 0.1 cannot read it, and so neither leads nor owns machines.
+    """
 
     level: int
     leader: str
     members: list[MemberRecord]
 
 
-def _plain(job: Job) -> _Spec:
+def _to_spec(job: Job) -> _Spec:
     return _Spec(*(getattr(job, name) for name in _Spec.__struct_fields__))
 
 
-def _rich(spec: _Spec) -> Job:
+def _to_job(spec: _Spec) -> Job:
     return Job(**{name: getattr(spec, name) for name in _Spec.__struct_fields__})
 
 
-# Fields that may be left out at a record's end when they are empty. For an ending that is
-# what version 0.1 knows it by: a list of two.
-_LEAST: dict[type[Struct], int] = {_Job: 6, Ending: 2, Roster: 2}
+# How many fields each record has at least: empty ones beyond them are omitted at the end. Version
+# 0.1 recognizes an ending as a list of two.
+_MIN_FIELDS: dict[type[Struct], int] = {_Job: 6, Ending: 2, Roster: 2}
 
 
 def encode_record(record: Struct, level: int = 0) -> Any:
-    """A record as plain data for the wire, in the newest form that all controllers read."""
+    """Convert a record to plain data, in the newest form that all controllers can read.
+
+    `level` is the format level that they share; 0 stands for the forms of version 0.1.
+    """
     if isinstance(record, JobRecord):
         record = _Job(
-            _plain(record.spec), record.accepted_at, record.status, record.attempt,
+            _to_spec(record.spec), record.accepted_at, record.status, record.attempt,
             pack_entries(record.entries), record.done_ranges, record.failure_count,
             record.retry_at, record.failed_on, record.open_prerequisites, record.ready_at,
             record.delegation, record.guest,
@@ -177,9 +202,9 @@
     elif isinstance(record, Roster) and level:
         record = _Roster(level, record.leader, record.members)
     value = msgspec.to_builtins(record)
-    least = _LEAST.get(type(record))
-    if least is not None:
-        while len(value) > least and not value[-1]:
+    min_fields = _MIN_FIELDS.get(type(record))
+    if min_fields is not None:
+        while len(value) > min_fields and not value[-1]:
             value.pop()
     return value
 
@@ -197,24 +222,28 @@
 
 
 def decode_record(key: str, value: Any) -> Struct | None:
-    """The record at a key, or None where the key is not ours."""
+    """Convert the plain data at a key to its record; returns None if the key is of no known kind.
+
+    Raises:
+        msgspec.ValidationError: The value does not have the form of the key's record.
+    """
     if key == ROSTER_KEY:
         if isinstance(value, list) and value and isinstance(value[0], int):
-            newer = msgspec.convert(value, _Roster)
-            return Roster(newer.leader, newer.members, newer.level)
+            roster = msgspec.convert(value, _Roster)
+            return Roster(roster.leader, roster.members, roster.level)
         return msgspec.convert(value, Roster)
     if key in (CATALOG_KEY, MACHINE_TYPES_KEY):
         return msgspec.convert(value, Catalog)
     if key == FORMAT_LEVEL_KEY:
         return msgspec.convert(value, FormatLevel)
-    for prefix, shape in RECORD_TYPES.items():
+    for prefix, record_type in RECORD_TYPES.items():
         if key.startswith(prefix):
             if prefix == JOB_PREFIX and isinstance(value, list) and 2 <= len(value) <= 3:
-                return msgspec.convert(value, Ending)  # ended, not yet moved
-            record = msgspec.convert(value, shape)
+                return msgspec.convert(value, Ending)  # not archived yet
+            record = msgspec.convert(value, record_type)
             if isinstance(record, _Job):
                 return JobRecord(
-                    _rich(record.spec), record.accepted_at, record.status, record.attempt,
+                    _to_job(record.spec), record.accepted_at, record.status, record.attempt,
                     unpack_entries(record.entries), record.done_ranges, record.failure_count,
                     record.retry_at, record.failed_on, record.open_prerequisites, record.ready_at,
                     record.delegation, record.guest,
@@ -224,5 +253,5 @@
 
 
 def json_size_bytes(value: Any) -> int:
-    """Bytes of a value in JSON form, which is how the limits count."""
+    """Return a value's size in JSON, by which the state service applies its limits."""
     return len(msgspec.json.encode(value))
--- a/coursefold/storage/records.py
+++ b/coursefold/storage/records.py
@@ -1,11 +1,11 @@
-"""The records of the state service and their keys; `codec` brings them to the wire and back.
+"""The records in the state service and their keys; `codec` converts them to and from plain data.
 
-A job's record is small while it lives and becomes a tiny `Ending` under another prefix when
-it is over, so that a starting node reads live jobs only and ended ones take no memory.
+A job's record is deleted when the job ends. What remains is a small `Ending` under another prefix,
+so that a starting controller reads live jobs only and ended jobs take no memory.
 
-Forms that version 0.1 cannot read are written only once every controller can
-(`Level`): an ending's time, the roster's second form, and records too large for
-one value, which are compressed and laid over several keys (`spreading`).
+Forms of records that version 0.1 cannot read are written only once every controller can read them
+(`FormatLevel`): the time in an ending, the second form of the roster, and records that exceed the
+size of one value, which are compressed and split over several keys (`spreading`).
 """
 
 from msgspec import Struct
@@ -27,61 +27,62 @@
 OWNERSHIP_PREFIX = "cf/s/"
 SHARE_REQUEST_PREFIX = "cf/r/"
 FORMAT_LEVEL_KEY = Key("cf/level")
-MACHINE_TYPES_KEY = Key("cf/types")  # the machine types since the switch; `CATALOG` before it
-BASE_LEVEL = 1  # the level of the forms that this version writes by itself
-CELLS_LEVEL = 2  # where `deploy/cells.toml` is there: jobs that are away, and guests
-SHARES_LEVEL = 3  # where `deploy/shares.toml` is there: machines whose owner a move has set
-NEWEST_LEVEL = SHARES_LEVEL  # the highest level that this version reads
-
-ASSIGNED, PLACED, STOPPING = 0, 1, 2
-LIVE, CANCELLED, DONE = 0, 1, 2
+MACHINE_TYPES_KEY = Key("cf/types")  # replaces CATALOG_KEY once a format level is set
+BASE_LEVEL = 1  # the forms that this version always writes
+CELLS_LEVEL = 2  # with a cells file: delegated jobs and guests as well
+SHARES_LEVEL = 3  # with a shares file: owners of moved machines as well
+NEWEST_LEVEL = SHARES_LEVEL  # the highest level that this version can read
+
+ASSIGNED, PLACED, STOPPING = 0, 1, 2  # stages of a task's entry
+LIVE, CANCELLED, DONE = 0, 1, 2  # status of a job
 STATUS_NAMES = {LIVE: "pending", CANCELLED: "cancelled", DONE: "done"}
 
 
 def job_key(job: JobId) -> Key:
-    """Of a job that lives, or has ended lately."""
+    """Return the key of a live job or of one whose ending has not been archived yet."""
     return Key(JOB_PREFIX + job)
 
 
 def ending_key(job: JobId) -> Key:
-    """Of an ended job."""
+    """Return the permanent key of an ended job."""
     return Key(ENDING_PREFIX + job)
 
 
 def member_key(member: MemberName) -> Key:
-    """Of a live controller."""
+    """Return the key of a live controller."""
     return Key(MEMBER_PREFIX + member)
 
 
-def pool_key(build: str) -> Key:
-    """Of a pool's rentals."""
-    return Key(POOL_PREFIX + build)
+def pool_key(pool: str) -> Key:
+    """Return the key of a pool's rentals."""
+    return Key(POOL_PREFIX + pool)
 
 
 def cell_link_key(cell: str) -> Key:
-    """Of what is granted to and by another cell."""
+    """Return the key of the grants to and from another cell."""
     return Key(CELL_LINK_PREFIX + cell)
 
 
 def ownership_key(machine: str) -> Key:
-    """Of who owns a machine that was moved."""
+    """Return the key of the ownership of a machine that was moved."""
     return Key(OWNERSHIP_PREFIX + machine)
 
 
 def share_request_key(request: str) -> Key:
-    """Of an operator's request to move machines."""
+    """Return the key of an operator's request to move machines."""
     return Key(SHARE_REQUEST_PREFIX + request)
 
 
 def version_key(member: str) -> Key:
-    """Of what a controller's process can read."""
+    """Return the key of the format level that a controller's process can read."""
     return Key(VERSION_PREFIX + member)
 
 
 class MemberVersion(Struct, array_like=True, frozen=True):
-    """What a controller's process can write and read; `permit` names the process.
+    """The format level that a controller's process can read and write.
 
-    Without a lease: a controller that is down keeps the version that it last had.
+    The key has no lease, so the version of a controller that is down remains known.
+    `lease_id` identifies the process.
     """
 
     level: int
@@ -89,9 +90,10 @@
 
 
 class FormatLevel(Struct, array_like=True, frozen=True):
-    """The forms that all controllers are known to read. Only ever raised.
+    """The format level that all controllers are known to read; it is never lowered.
 
-    All but those that had stayed down for long: they may come back as they were.
+    `ignored_members` had been down for long when the level was raised, and may come back with
+    an older version.
     """
 
     level: int
@@ -99,7 +101,7 @@
 
 
 class MemberRecord(Struct, array_like=True, frozen=True):
-    """A live controller; attached to its lease, which is its incarnation."""
+    """A live controller. The key is attached to its lease, whose id identifies its process."""
 
     name: str
     lease_id: int
@@ -107,22 +109,25 @@
 
 
 class Roster(Struct, array_like=True, frozen=True):
-    """Who leads and who owns machines; this key's Stamp is the token."""
+    """The leader, and the members that own machines; the key's version is the fencing token."""
 
     leader: str
     members: list[MemberRecord]
-    level: int = 0  # of the form in which it was read
+    level: int = 0  # format level of the form that it was read in
 
     def find_member(self, name: str) -> MemberRecord | None:
-        """A member by its name."""
-        return next((m for m in self.members if m.name == name), None)
+        """Return the member of this name, or None."""
+        return next((member for member in self.members if member.name == name), None)
 
 
 class TaskEntry(Struct, array_like=True, frozen=True):
-    """A task that is dealt to an owner or has a place not yet proven gone."""
+    """A task that is assigned to an owner, or is placed and not yet proven to have ended.
 
-    index: int
-    stage: int
+    `session` is that of the machine's worker when the task was placed.
+    """
+
+    index: int  # the task's number
+    stage: int  # ASSIGNED, PLACED or STOPPING
     attempt: int
     owner: str
     zone: str = ""
@@ -131,62 +136,68 @@
 
 
 class JobRecord(Struct, array_like=True, frozen=True):
-    """An accepted job that is not over, or cancelled with tasks not yet proven gone."""
+    """An accepted job that has not ended, or a cancelled one whose tasks may still run.
+
+    Points in time are times of day.
+    """
 
     spec: Job
     accepted_at: float
-    status: int = LIVE
-    attempt: int = 0
+    status: int = LIVE  # LIVE or CANCELLED
+    attempt: int = 0  # number of the last attempt of any task
     entries: list[TaskEntry] = []
-    done_ranges: list[tuple[int, int]] = []
-    failure_count: int = 0
-    retry_at: float = 0.0
-    failed_on: list[str] = []
+    done_ranges: list[tuple[int, int]] = []  # first and last numbers of tasks that are done
+    failure_count: int = 0  # failed attempts since a task was last done
+    retry_at: float = 0.0  # after a failure, when the next attempt may start
+    failed_on: list[str] = []  # machines of recent failures; others are tried first
     open_prerequisites: list[str] = []  # jobs that were not done when this one was accepted
-    ready_at: float = 0.0  # when the last of them was done, once tasks may be dealt
-    delegation: Delegation | None = None  # where it was handed to
-    guest: Guest | None = None  # whose it is, if another cell's
+    ready_at: float = 0.0  # when the last of them was done; set once tasks may be assigned
+    delegation: Delegation | None = None  # set if it was offered to another cell
+    guest: Guest | None = None  # set if it is another cell's job
 
     @property
     def is_delegated(self) -> bool:
-        """Is another cell to run it, so that nothing of it may start here?"""
+        """Whether another cell is to run the job, so that none of its tasks may start here."""
         return self.delegation is not None and self.delegation.stage != DelegationStage.HOME
 
     @property
     def may_start(self) -> bool:
-        """May this cell start its tasks, as far as other cells go?"""
+        """Whether this cell may start the job's tasks with respect to other cells."""
         if self.guest is not None:
             return self.guest.stage == GuestStage.GRANTED
         return not self.is_delegated
 
     @property
     def quota_task_count(self) -> int:
-        """Tasks that count against the team's limit: placed here, or away and not proven gone."""
-        away = self.spec.task_count - self.done_count if self.is_delegated else 0
-        return len(self.entries) + away
+        """Number of tasks that count against the team's limit.
+
+        These are the tasks with an entry, and all unfinished tasks of a delegated job.
+        """
+        delegated_count = self.spec.task_count - self.done_count if self.is_delegated else 0
+        return len(self.entries) + delegated_count
 
     @property
     def eligible_at(self) -> float:
-        """The moment from which all but the deadline counts."""
+        """Time of day from which waiting is counted; a deadline counts from acceptance instead."""
         return self.ready_at or self.accepted_at
 
     @property
     def done_count(self) -> int:
-        """Tasks that are done."""
+        """Number of tasks that are done."""
         return sum(high - low + 1 for low, high in self.done_ranges)
 
     def is_done(self, index: int) -> bool:
-        """Is the task done?"""
+        """Return whether the task is done."""
         return any(low <= index <= high for low, high in self.done_ranges)
 
     def waiting_indices(self, limit: int) -> list[int]:
-        """The first indices that are neither done nor in an entry."""
-        taken = {entry.index for entry in self.entries}
+        """Return the lowest numbers, at most `limit`, of tasks neither done nor in an entry."""
+        entry_indices = {entry.index for entry in self.entries}
         found: list[int] = []
         index = 0
         for low, high in [*self.done_ranges, (self.spec.task_count, self.spec.task_count)]:
             while index < low and len(found) < limit:
-                if index not in taken:
+                if index not in entry_indices:
                     found.append(index)
                 index += 1
             if len(found) >= limit:
@@ -196,31 +207,35 @@
 
     @property
     def waiting_count(self) -> int:
-        """Tasks that are neither done nor dealt."""
+        """Number of tasks that are neither done nor assigned."""
         return self.spec.task_count - self.done_count - len(self.entries)
 
 
 class Ending(Struct, array_like=True, frozen=True):
-    """What is kept of an ended job for good."""
+    """What is kept of an ended job permanently."""
 
-    status: int
+    status: int  # CANCELLED or DONE
     task_count: int
-    ended_at: float = 0.0  # when it ended, while a job that needs it may ask
+    ended_at: float = 0.0  # time of day; 0: not recorded, or no longer needed by other jobs
 
 
 class Rental(Struct, array_like=True, frozen=True):
-    """A rental, recorded before it is sent; `machines` is None until answered."""
+    """A rental of machines, recorded before the request is sent to the cloud provider."""
 
     name: str
     zone: str
     spot: bool
     count: int
-    requested_at: float
-    machines: list[str] | None = None
+    requested_at: float  # time of day
+    machines: list[str] | None = None  # None until the response has arrived
 
 
 class PoolRecord(Struct, array_like=True, frozen=True):
-    """One pool of alike machines: target, integral, rentals, returns under way."""
+    """The rentals of a pool, which is a set of machines of one type.
+
+    This version does not use `target`, `integral` and `returning`; they keep their places in the
+    stored list.
+    """
 
     target: float = 0.0
     integral: float = 0.0
@@ -229,7 +244,7 @@
 
 
 def add_to_ranges(ranges: list[tuple[int, int]], index: int) -> list[tuple[int, int]]:
-    """The ranges with one more index, merged and in order."""
+    """Return the ranges with one more task number, merged and in ascending order."""
     merged: list[tuple[int, int]] = []
     for low, high in sorted([*ranges, (index, index)]):
         if merged and low <= merged[-1][1] + 1:
