--- a/tests/test_shares_guards.py
+++ b/tests/test_shares_guards.py
@@ -153,8 +153,8 @@
     world.sends_nothing()
     world.moves_to("n1", until=EPOCH + 1000.0)
     world.ticks(20.0)
-    assert world.core.ctx.active()
-    assert not world.core.ctx.machines[MACHINE].lost
+    assert world.core.ctx.is_active()
+    assert not world.core.ctx.machines[MACHINE].lease_expired
     assert not [k for k in world.core.queue.waiting if k.startswith(records.JOBS)]
 
 
@@ -164,7 +164,7 @@
     world.sends_nothing()
     world.moves_to("n1", until=EPOCH + 1000.0)
     world.ticks()
-    since, longest = world.now, world.core.ctx.longest_renewal()
+    since, longest = world.now, world.core.ctx.max_renewal_s()
     world.state = "down"
     permits = {p.name: p.permit for p in world.core.view.members.values()}
     while world.now < since + longest + 5.0:
@@ -195,14 +195,14 @@
     given_to_us(world, token)
     assert world.says([])["Baton"] == token
     ctx = world.core.ctx
-    assert not ctx.machines[MACHINE].proven
+    assert not ctx.machines[MACHINE].token_confirmed
     # Absence under an older token proves nothing, nor does silence; under the new one it does.
     world.cancel("job-1")
     world.says([])
     assert world.core.view.entry(JobId("job-1"), 0) is not None
     world.run(world.now + 1.0)
     world.says([world.task()], token)
-    assert ctx.machines[MACHINE].proven
+    assert ctx.machines[MACHINE].token_confirmed
     assert world.direct[-1].token == token if world.direct else True
     world.says([], token)
     world.run(world.now + 0.5)
@@ -243,7 +243,7 @@
     while world.now < since + 40.0:
         world.ticks(0.5)
         assert world.core.view.entry(job, 0) is not None
-    assert world.core.ctx.machines[MACHINE].lost
+    assert world.core.ctx.machines[MACHINE].lease_expired
     world.ticks(10.0)  # longer than anybody may have renewed its lease
     assert world.core.view.entry(job, 0) is None
 
@@ -261,7 +261,7 @@
     machine = world.core.ctx.machines[MACHINE]
     assert [state.obstacle for state in world.shares.port.machines()] == [""]
     if how == "sick":
-        machine.sick = True
+        machine.quarantined = True
     elif how == "silent":
         world.run(world.now + 8.0)
     elif how == "recalled":
@@ -359,9 +359,9 @@
     world = Pair()
     permit = world.store.keys[records.MEMBERS + "n1"][0][1]
     world.moves_to("n1", stage=MoveStage.SETTLED, owner="n1", incarnation=permit, token=5)
-    assert world.core.ctx.owner(MACHINE, "a") == "n1"
+    assert world.core.ctx.owner_of(MACHINE, "a") == "n1"
     world.moves_to("n1", stage=MoveStage.SETTLED, owner="n1", incarnation=permit + 1, token=5)
-    assert world.core.ctx.owner(MACHINE, "a") == "n0"
+    assert world.core.ctx.owner_of(MACHINE, "a") == "n0"
 
 
 @pytest.mark.parametrize(
@@ -379,8 +379,8 @@
     world = Pair()
     world.store.set(str(KEY), value)
     world._news()
-    assert world.core.ctx.owner(MACHINE, "a") == "n0"
-    assert world.core.ctx.token_of(MACHINE) == world.token
+    assert world.core.ctx.owner_of(MACHINE, "a") == "n0"
+    assert world.core.ctx.machine_token(MACHINE) == world.token
     assert world.says([world.task()])["Orders"] == []
     assert KEY in world.core.view.unreadable
 
--- a/tests/test_shares_input.py
+++ b/tests/test_shares_input.py
@@ -297,7 +297,7 @@
         answers: list[Any] = []
         fleet.request(
             led.number,
-            lambda core, t, raw=raw: core.operate("/shares/move", raw, t),  # type: ignore[misc]
+            lambda core, t, raw=raw: core.handle_operator_command("/shares/move", raw, t),  # type: ignore[misc]
             answers.append,
             lambda: True,
         )
@@ -316,7 +316,7 @@
     slow = FAST | {"at_once": 2, "a_minute": 6}
     world = with_replicas(24, shares=[RULE], windows=[window], moves=slow)
     world.run_until(lambda: world.counts()["n0"] >= 4, 120.0)
-    shown = world.led().core.condition()["shares"]
+    shown = world.led().core.health_status()["shares"]
     assert shown["window"] == "evening"
     end = ends.replace(second=0).timestamp() - EPOCH
     world.run(end + 2.0)
--- a/tests/test_shares_loopback.py
+++ b/tests/test_shares_loopback.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from coursefold.coordination.parts import owner as hashed_owner
+from coursefold.coordination.rendezvous import hash_owner as hashed_owner
 from coursefold.storage import codec, records
 from coursefold.storage.records import Roster
 from coursefold.storage.share_records import MachineOwnership
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -30,7 +30,7 @@
 
 import pytest
 
-from coursefold.coordination.effects import Answer
+from coursefold.coordination.effects import Response
 from coursefold.protocol.ids import JobId
 from coursefold.storage import records
 from coursefold.storage.records import DEALT
@@ -68,7 +68,7 @@
     return {key: value(text) for key, text in pairs}
 
 
-def shown(answer: Answer | None) -> str:
+def shown(answer: Response | None) -> str:
     """An answer as a trace writes it."""
     if answer is None:
         return "nothing"
@@ -207,7 +207,7 @@
     def do_direct(self, words: list[str]) -> str:
         """Commands sent to workers' own addresses since the last look."""
         sent, self.world.direct = self.world.direct, []
-        orders = [o for d in sent for o in d.orders]
+        orders = [o for d in sent for o in d.commands]
         return " ".join(f"{o.verb} {o.task}#{o.attempt}" for o in orders) or "nothing"
 
     def do_hires(self, words: list[str]) -> str:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -67,24 +67,24 @@
         assert (envelope.version, envelope.sender) == (summary.VERSION, sender)
         assert envelope.summary.full or envelope.proposals or envelope.outcomes
         # As the first frame of a connection made now; what it says is production's own.
-        envelope.sender, envelope.sent_at = "n1", world.core.ctx.wall
+        envelope.sender, envelope.sent_at = "n1", world.core.ctx.wall_time
         envelope.link, envelope.seq, envelope.summary.full = float(at), 1, True
-        assert world.core.peer(envelope.SerializeToString())
+        assert world.core.receive_frame(envelope.SerializeToString())
         asked += len(envelope.proposals)
     assert asked
-    assert len(world.core.tellers["n1"].outcomes) == asked
+    assert len(world.core.frame_builders["n1"].outcomes) == asked
 
 
 def test_production_answers_what_it_does_not_know(old: Version) -> None:
     """A kind of proposal that it has never heard of gets an outcome, and changes nothing."""
     fleet = Fleet(1, 20, old)
     fleet.run(4.0)
-    (leader,) = [n for n in fleet.nodes if n.core.ctx.leading()]
+    (leader,) = [n for n in fleet.nodes if n.core.ctx.is_leading()]
     sibling = next(n.name for n in fleet.nodes if n is not leader)
     before = fleet.store.ledger
     strange = peer_pb2.Proposal(id=7, token=leader.core.view.token, job="job-1", kind="orphan")
     leader.core.forwarding.proposals(sibling, [strange])
-    assert [(o.id, o.ok) for o in leader.core.tellers[sibling].outcomes][-1] == (7, False)
+    assert [(o.id, o.ok) for o in leader.core.frame_builders[sibling].outcomes][-1] == (7, False)
     assert fleet.store.ledger == before
 
 
@@ -103,7 +103,7 @@
     world.run(2.0)
     world.store.set(records.LEVEL, [1, ["n2"]])  # n2 had stayed down, and was given up
     world.run(6.0)
-    assert world.core.ctx.leading()
+    assert world.core.ctx.is_leading()
     assert str(records.CATALOG) not in world.store.keys
     view = old.view.View()
     view.reload([(r["K"], r["Value"], r["Stamp"]) for r in world.store.rows("cf/")], 99)
@@ -176,7 +176,7 @@
     world.restart()
     world.run(4.0)
     assert world.core.view.level == 1
-    assert world.core.ctx.leading()
+    assert world.core.ctx.is_leading()
 
 
 # Mixed fleets
--- a/tests/world.py
+++ b/tests/world.py
@@ -10,7 +10,14 @@
 import msgspec
 
 from coursefold.coordination.core import Core
-from coursefold.coordination.effects import Answer, CloudCall, Direct, Read, Tell, Vouch
+from coursefold.coordination.effects import (
+    CloudCall,
+    NotifyPeers,
+    ReadJobResult,
+    RefreshView,
+    Response,
+    SendCommands,
+)
 from coursefold.protocol import peer_pb2
 from coursefold.protocol.ids import JobId, Moment, WallTime
 from coursefold.protocol.wire import Catalog, encode
@@ -84,8 +91,8 @@
         self.listed: dict[str, dict[str, Any]] = {}
         self.last_ticket = 0
         self.frames = 0
-        self.answers: dict[int, Answer] = {}
-        self.direct: list[Direct] = []
+        self.answers: dict[int, Response] = {}
+        self.direct: list[SendCommands] = []
         self.store.set(records.CATALOG, msgspec.to_builtins(self._catalog()))
         self.restart()
 
@@ -102,7 +109,7 @@
     # Time
 
     def enter(self) -> Core:
-        self.core.at(Moment(100.0 + self.now), WallTime(EPOCH + self.now))
+        self.core.set_time(Moment(100.0 + self.now), WallTime(EPOCH + self.now))
         return self.core
 
     def run(self, until: float) -> None:
@@ -133,8 +140,8 @@
         self.store.expire(self.now) if self.state == "up" else None
         if self.state != "up":
             return
-        if not ctx.permit or not self.store.touch(self.now, ctx.permit):
-            ctx.permit = self.store.grant(self.now, LIFE_MS)
+        if not ctx.lease_id or not self.store.touch(self.now, ctx.lease_id):
+            ctx.lease_id = self.store.grant(self.now, LIFE_MS)
         ctx.lease_until = Moment(100.0 + self.now + LIFE_MS / 1000)
         self._heard()
 
@@ -152,7 +159,7 @@
                 else:
                     view.drop(item["Remove"], item["Stamp"])
         self.followed = view.ledger = self.store.ledger
-        self.core.ctx.follow_ok_at = Moment(100.0 + self.now)
+        self.core.ctx.watch_ok_at = Moment(100.0 + self.now)
 
     def _commit(self) -> bool:
         queue = self.core.queue
@@ -168,7 +175,7 @@
                 queue.refreshed(key)
         batch = queue.next_batch(now)
         if batch is None:
-            return reread or bool(self.core.ctx.out)
+            return reread or bool(self.core.ctx.effects)
         if self.state in ("down", "mute"):
             queue.refused(batch, now, 0.2) if self.state == "down" else queue.unknown(
                 batch, now, 0.2
@@ -184,55 +191,55 @@
         elif status == 409:
             queue.conflicted(batch, body["failed"])
         else:
-            self.core.ctx.permit = 0
+            self.core.ctx.lease_id = 0
             queue.lease_gone(batch)
         return True
 
     def _effects(self) -> bool:
         moved = False
-        for effect in self.core.drain():
-            moved |= not isinstance(effect, Tell)
-            if isinstance(effect, Answer):
+        for effect in self.core.take_effects():
+            moved |= not isinstance(effect, NotifyPeers)
+            if isinstance(effect, Response):
                 self.answers[effect.ticket] = effect
-            elif isinstance(effect, Vouch):
+            elif isinstance(effect, RefreshView):
                 self._vouch()
-            elif isinstance(effect, Read):
+            elif isinstance(effect, ReadJobResult):
                 self._read(effect)
-            elif isinstance(effect, Direct):
+            elif isinstance(effect, SendCommands):
                 self.direct.append(effect)
             elif isinstance(effect, CloudCall):
                 self._cloud(effect)
         return moved
 
-    def _read(self, read: Read) -> None:
+    def _read(self, read: ReadJobResult) -> None:
         if self.state != "up":
             self.core.read_failed(read.ticket)
             return
         key = records.ending_key(JobId(read.job))
         row = self.store.row(key)
         record = codec.parse(key, row["Value"]) if row is not None else None
-        self.core.read(read.ticket, record if isinstance(record, Ending) else None)
+        self.core.receive_job_result(read.ticket, record if isinstance(record, Ending) else None)
 
     def _vouch(self) -> None:
-        tickets, self.core.questions = self.core.questions, []
+        tickets, self.core.requests_awaiting_refresh = self.core.requests_awaiting_refresh, []
         if self.state != "up":
             for ticket in tickets:
                 self.core.read_failed(ticket)
             return
         self._news()
-        self.core.vouched(tickets)
+        self.core.view_refreshed(tickets)
 
     def _cloud(self, call: CloudCall) -> None:
         self.calls.append((call.verb, call.body))
         if self.cloud == "down":
-            self.core.cloud(call.call, 503, encode({"error": "trouble"}))
+            self.core.receive_cloud_response(call.call_id, 503, encode({"error": "trouble"}))
         elif self.cloud == "full" and call.verb == "hire":
-            self.core.cloud(call.call, 503, encode({"error": "no capacity"}))
+            self.core.receive_cloud_response(call.call_id, 503, encode({"error": "no capacity"}))
         elif call.verb == "catalog":
-            self.core.cloud(call.call, 200, encode(CATALOG))
+            self.core.receive_cloud_response(call.call_id, 200, encode(CATALOG))
         elif call.verb == "list":
-            self.core.cloud(
-                call.call, 200, encode({"Boxes": list(self.listed.values()), "More": False})
+            self.core.receive_cloud_response(
+                call.call_id, 200, encode({"Boxes": list(self.listed.values()), "More": False})
             )
         elif call.verb == "hire":
             body = call.body
@@ -244,16 +251,16 @@
                 box = {"NameId": name, "Addr": "10.0.0.9:9000", "Status": "starting"}
                 self.listed[name] = box | kind | {"HeldS": 0.0}
             if self.cloud != "mute":
-                self.core.cloud(call.call, 200, encode({"Boxes": names}))
+                self.core.receive_cloud_response(call.call_id, 200, encode({"Boxes": names}))
         elif call.verb == "return":
             self.returned.extend(call.body["Boxes"])
             for name in call.body["Boxes"]:
                 self.listed.pop(name, None)
-            self.core.cloud(call.call, 200, encode({}))
+            self.core.receive_cloud_response(call.call_id, 200, encode({}))
 
     # Inputs
 
-    def ask(self, send: Any) -> Answer | None:
+    def ask(self, send: Any) -> Response | None:
         """One request; its answer if there is one by now."""
         self.last_ticket += 1
         self.enter()
@@ -261,26 +268,26 @@
         self.settle()
         return self.answers.get(self.last_ticket)
 
-    def submit(self, name: str, **fields: Any) -> Answer | None:
+    def submit(self, name: str, **fields: Any) -> Response | None:
         body = encode(JOB | {"NameId": name} | fields)
         return self.ask(lambda ticket: self.core.submit(body, ticket))
 
-    def poll(self, name: str) -> Answer | None:
+    def poll(self, name: str) -> Response | None:
         return self.ask(lambda ticket: self.core.poll(name, ticket))
 
-    def cancel(self, name: str) -> Answer | None:
+    def cancel(self, name: str) -> Response | None:
         return self.ask(lambda ticket: self.core.cancel(name, ticket))
 
-    def report(self, machine: str, tasks: list[dict[str, Any]], **fields: Any) -> Answer | None:
+    def report(self, machine: str, tasks: list[dict[str, Any]], **fields: Any) -> Response | None:
         body = {
             "Box": machine, "Addr": "10.0.0.9:9000", "Build": "g2", "Site": "a", "Loaners": False,
             "Shift": 1, "Counter": 1, "Baton": self.core.view.token, "RecallS": None,
             "Pieces": tasks,
         } | fields  # fmt: skip
-        return self.ask(lambda ticket: self.core.report(encode(body), ticket))
+        return self.ask(lambda ticket: self.core.handle_report(encode(body), ticket))
 
     def peer(self, frame: bytes) -> None:
-        self.enter().peer(frame)
+        self.enter().receive_frame(frame)
         self.settle()
 
     def join(self, member: str, zone: str) -> None:
