--- a/coursefold/coordination/__init__.py
+++ b/coursefold/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: pure state machines without I/O, clock or randomness of their own."""
+"""Scheduling decisions: state machines that do no I/O and read neither clock nor random source."""
--- a/coursefold/coordination/extension.py
+++ b/coursefold/coordination/extension.py
@@ -1,16 +1,19 @@
-"""What a controller's core lets a subsystem beside it do."""
+"""The interface between the core and its optional subsystems, such as cells and shares."""
 
 from typing import Any, Protocol
 
 
 class Extension(Protocol):
-    """A subsystem that decides in the core's rounds. No I/O: like the core, it leaves effects."""
+    """A subsystem that takes its decisions in the core's rounds.
+
+    Like the core, it does no I/O and leaves effects.
+    """
 
     def tick(self) -> None:
-        """Decide; called in each round, after the core's own parts."""
+        """Run one round of decisions; called in each round after the core's own parts."""
 
     def handle_operator_command(self, path: str, body: bytes, ticket: int) -> bool:
-        """An operator's command; False if it is none of this subsystem's."""
+        """Handle an operator's command; return False if the path is not of this subsystem."""
 
     def health_status(self) -> dict[str, Any]:
-        """What the controller's condition says of it, by name."""
+        """Return this subsystem's fields of the `/healthz` response."""
--- a/coursefold/coordination/grants.py
+++ b/coursefold/coordination/grants.py
@@ -1,7 +1,7 @@
-"""Until when other cells' jobs may run here.
+"""Expiry of the grants under which other cells' jobs may run in this cell.
 
-Each controller judges by itself, from the records that it has: without the state service,
-and cut off from every other, its workers must end a guest's tasks all the same.
+Each controller checks expiry by itself, from its own records: when it is cut off from the state
+service and from all other controllers, its workers must still end a guest job's tasks in time.
 """
 
 from typing import NamedTuple
@@ -13,42 +13,52 @@
 
 
 class SeenGrant(NamedTuple):
-    """A grant's end as recorded, and when this process first saw it."""
+    """The recorded end of a grant, and when this process first saw that record.
+
+    Attributes:
+        held_until: The grant's end as a time of day, in seconds since the epoch.
+        seen_at: The time on the steady clock at which this end was first seen.
+    """
 
     held_until: float
     seen_at: Moment
 
 
 class GrantExpiry:
-    """Tells a lapsed grant by the time of day and by the steady clock, whichever is sooner."""
+    """Decides whether a grant has expired, by the time of day or by the steady clock.
+
+    The clock that reaches the end of the grant first decides.
+    """
 
     def __init__(self, view: View) -> None:
         self.view = view
-        self.seen_grants: dict[str, SeenGrant] = {}
+        self.seen_grants: dict[str, SeenGrant] = {}  # by home cell
 
     def observe(self, now: Moment) -> None:
-        """Note the grants that the records show; called whenever time is set."""
+        """Note when recorded grants were first seen; called whenever the core's time is set."""
         for cell, link in self.view.links.items():
             known = self.seen_grants.get(cell)
             if known is None or known.held_until != link.held_until:
                 self.seen_grants[cell] = SeenGrant(link.held_until, now)
 
-    def has_expired(self, home: str, now: Moment, wall: WallTime) -> bool:
-        """Has the home cell's grant ended?
+    def has_expired(self, home: str, now: Moment, wall_time: WallTime) -> bool:
+        """Return whether the home cell's grant has expired; True also if there is none.
 
-        By the steady clock it ends no later than its whole span after it was first seen,
-        wherever the time of day has been set to meanwhile.
+        By the steady clock the grant ends at the latest when its full duration has passed since
+        it was first seen, even if the time of day was set back in the meantime.
         """
         link = self.view.links.get(home)
         seen = self.seen_grants.get(home)
-        if link is None or seen is None or wall >= link.held_until:
+        if link is None or seen is None or wall_time >= link.held_until:
             return True
         return now - seen.seen_at > link.held_s * CLOCK_DRIFT
 
-    def has_job_grant_expired(self, job: JobRecord | None, now: Moment, wall: WallTime) -> bool:
-        """Is this another cell's job whose grant has ended?"""
+    def has_job_grant_expired(
+        self, job: JobRecord | None, now: Moment, wall_time: WallTime
+    ) -> bool:
+        """Return whether the job belongs to another cell whose grant has expired."""
         return (
             job is not None
             and job.guest is not None
-            and self.has_expired(job.guest.home, now, wall)
+            and self.has_expired(job.guest.home, now, wall_time)
         )
--- a/coursefold/coordination/ownership.py
+++ b/coursefold/coordination/ownership.py
@@ -1,6 +1,7 @@
-"""Who owns a machine: by hash under the roster, unless a handover has set an owner.
+"""Ownership of machines that were handed over to another controller.
 
-A handover raises the fencing token of the one machine. Its old owner commits the handover
+The owner of a machine is found by hash under the roster, unless a handover has assigned another
+one. A handover raises the fencing token of that one machine. The old owner commits the handover
 itself and stops acting for the machine before it sends that commit, so the old and the new
 owner never act for the machine at the same time (`docs/architecture.md`, "Shares").
 """
@@ -14,7 +15,13 @@
 
 
 class Handover(NamedTuple):
-    """A handover as this process first saw it."""
+    """A handover as this process first saw it.
+
+    Attributes:
+        token: The machine's fencing token after the handover.
+        revision: The revision of the state service at which the handover was written.
+        seen_at: When this process first saw it, on the steady clock.
+    """
 
     token: int
     revision: int
@@ -22,28 +29,38 @@
 
 
 class Release(NamedTuple):
-    """The record and the roster under which we stopped acting for a machine."""
+    """The state under which this controller stopped acting for a machine.
+
+    Attributes:
+        version: The version of the machine's ownership key.
+        roster_token: The fencing token of the roster.
+    """
 
     version: int
     roster_token: int
 
 
 class OwnershipTable:
-    """The records of machines that were moved, as owners and the leader need them."""
+    """The ownership records of machines that were handed over or are about to be.
+
+    Attributes:
+        handovers: The last handover of each machine, as first seen.
+        releases: Machines for which this controller has stopped acting.
+    """
 
     def __init__(self, view: View) -> None:
         self.view = view
         self.handovers: dict[str, Handover] = {}
         self.releases: dict[str, Release] = {}
         self._incarnations: dict[str, int] = {}
-        self._incarnations_at = -1
+        self._incarnations_token = -1
 
     def observe_changes(self, now: Moment) -> list[str]:
-        """Note records that have changed; the machines of which the token has."""
+        """Note changed records; return the machines whose fencing token has changed."""
         if not self.view.ownership_changed:
             return []
         changed, self.view.ownership_changed = self.view.ownership_changed, {}
-        moved: list[str] = []
+        with_new_token: list[str] = []
         for machine in changed:
             record = self.view.ownership.get(machine)
             known = self.handovers.get(machine)
@@ -52,14 +69,14 @@
             elif record.token and (known is None or known.token != record.token):
                 revision = self.view.stamp(ownership_key(machine))
                 self.handovers[machine] = Handover(record.token, revision, now)
-                moved.append(machine)
-        return moved
+                with_new_token.append(machine)
+        return with_new_token
 
     def assigned_owner(self, machine: str) -> str | None:
-        """The owner that a handover has set; None where the hash decides.
+        """Return the owner that a handover has set; None if the hash decides.
 
-        The assignment ends with the owner's process: what it knew of the machine is lost, and
-        the others have taken its machines over by hash.
+        The assignment ends with the owner's process: what that process knew of the machine is
+        lost, and the other controllers have taken over its machines by hash.
         """
         record = self.view.ownership.get(machine)
         if record is None or not record.owner:
@@ -68,55 +85,62 @@
         return record.owner if is_member else None
 
     def _incarnation(self, member: str) -> int | None:
-        if self._incarnations_at != self.view.token:
+        if self._incarnations_token != self.view.token:
             roster = self.view.roster
             self._incarnations = {m.name: m.permit for m in roster.members} if roster else {}
-            self._incarnations_at = self.view.token
+            self._incarnations_token = self.view.token
         return self._incarnations.get(member)
 
     def token(self, machine: str) -> int:
-        """The fencing token of a machine: the roster's, or a later handover's."""
+        """Return the fencing token of a machine: the roster's, or that of a later handover."""
         record = self.view.ownership.get(machine)
         return self.view.token if record is None else max(self.view.token, record.token)
 
     def seen_at(self, machine: str) -> Moment:
-        """When this process first saw the machine's last handover; long ago if there was none."""
+        """Return when this process first saw the machine's last handover; -inf if none."""
         handover = self.handovers.get(machine)
         return handover.seen_at if handover else Moment(float("-inf"))
 
     def is_behind(self, machine: str) -> bool:
-        """Is our view older than the machine's handover?
+        """Return whether the view is older than the machine's handover.
 
         The handover may be known from a single key that was read again. What the old owner
-        wrote before it has to be known as well before anybody acts on it.
+        wrote before the handover must be known too before any controller acts on it.
         """
         handover = self.handovers.get(machine)
         return handover is not None and handover.revision > self.view.ledger
 
-    def is_draining(self, machine: str, wall: WallTime) -> bool:
-        """Is the machine to be handed over, so that nothing new is placed there?
+    def is_draining(self, machine: str, wall_time: WallTime) -> bool:
+        """Return whether the machine is to be handed over and takes no new tasks.
 
-        Not after the move's time limit, whether or not anybody has withdrawn it: else a
-        machine could stay unused where no leader has a file of shares any more.
+        False after the move's time limit, even if the move was not withdrawn: otherwise the
+        machine would stay unused for good if no leader has a shares file any more.
         """
         record = self.view.ownership.get(machine)
-        return record is not None and record.stage == MoveStage.DRAINING and wall < record.until
+        return (
+            record is not None and record.stage == MoveStage.DRAINING and wall_time < record.until
+        )
 
     def move_in_progress(self, machine: str) -> MachineOwnership | None:
-        """The machine's record while a move is under way."""
+        """Return the machine's record while its move is in progress, otherwise None."""
         record = self.view.ownership.get(machine)
         return record if record is not None and record.stage == MoveStage.DRAINING else None
 
     def release(self, machine: str) -> None:
-        """From now on we give no commands to the machine, and prove nothing of it."""
-        stamp = self.view.stamp(ownership_key(machine))
-        self.releases[machine] = Release(stamp, self.view.token)
+        """Stop acting for the machine.
+
+        From now on this controller sends it no commands, and concludes nothing from its reports
+        or its silence.
+        """
+        version = self.view.stamp(ownership_key(machine))
+        self.releases[machine] = Release(version, self.view.token)
 
     def is_released(self, machine: str) -> bool:
-        """Have we stopped acting for the machine, so that it may be another's by now?
+        """Return whether this controller has stopped acting for the machine.
 
-        It holds until the record or the roster has changed: only then is it known whether
-        the handover that we sent was carried out, for under neither can it be any more.
+        The machine may belong to another controller by now. The release lasts until the record
+        or the roster changes: only then is the outcome of the handover commit known, since that
+        commit applies under neither of the changed ones.
         """
         release = self.releases.get(machine)
         if release is None:
--- a/coursefold/coordination/rendezvous.py
+++ b/coursefold/coordination/rendezvous.py
@@ -1,8 +1,8 @@
-"""The parting of machines among live controllers.
+"""Partition of the machines among the live controllers.
 
-Rendezvous hashing by the members' names: a restarted member gets its part back,
-and a lost one's part spreads over the rest. Members of the machine's own zone
-come first, since a cut between zones must not part a worker from its owner.
+Rendezvous hashing by member name: a restarted member gets the same machines back, and those of
+a failed member spread over the rest. Members in the machine's own zone are preferred, so that
+a network partition between zones does not separate a worker from its owner.
 """
 
 from hashlib import blake2b
@@ -11,13 +11,13 @@
 
 
 def rendezvous_weight(member: str, machine: str) -> bytes:
-    """The order of members for a machine: the highest owns it."""
+    """Return the member's weight for a machine; the member with the highest weight owns it."""
     return blake2b(f"{member}\0{machine}".encode(), digest_size=8).digest()
 
 
 def hash_owner(machine: str, zone: str, roster: Roster) -> str | None:
-    """The member that owns a machine under a roster."""
+    """Return the member that owns a machine under a roster; None if the roster is empty."""
     if not roster.members:
         return None
-    near = [m for m in roster.members if m.zone == zone] or roster.members
-    return max(near, key=lambda m: rendezvous_weight(m.name, machine)).name
+    candidates = [m for m in roster.members if m.zone == zone] or roster.members
+    return max(candidates, key=lambda m: rendezvous_weight(m.name, machine)).name
