--- a/coursefold/cells/estimate.py
+++ b/coursefold/cells/estimate.py
@@ -9,9 +9,9 @@
 from typing import NamedTuple
 
 from coursefold.cells.messages import PoolState
-from coursefold.coordination.demand import PoolDemand, weight
+from coursefold.coordination.demand import PoolDemand, slots_of_task
 from coursefold.coordination.placement import fits_type
-from coursefold.coordination.queueing import expect
+from coursefold.coordination.queueing import evaluate_queue
 from coursefold.protocol.wire import Job
 
 BOOT_FACTOR = 1.3  # machines take up to half as long again
@@ -29,20 +29,22 @@
 
 def pool_state(demand: PoolDemand, growth: float) -> PoolState:
     """A pool as it is, booting machines included, before anything that waits is placed."""
-    size = float(demand.machines * demand.k)
-    mean_run = demand.mean_busy if demand.batch else demand.mean_run
+    size = float(demand.machine_count * demand.slots_per_machine)
+    mean_run = demand.mean_batch_run_s if demand.batch_slots else demand.mean_run_s
     steady = 0.0
-    rate = demand.arrivals / demand.window
-    if 0 < rate * demand.mean_run < BUSIEST * size:
-        steady = expect(int(size), rate, 1 / demand.mean_run).wait * demand.batch_factor
+    rate = demand.arrived_slots / demand.window_s
+    if 0 < rate * demand.mean_run_s < BUSIEST * size:
+        steady = (
+            evaluate_queue(int(size), rate, 1 / demand.mean_run_s).mean_wait_s * demand.batch_factor
+        )
     return PoolState(
-        kind=demand.kind,
+        kind=demand.type_info,
         spot=demand.spot,
-        price=demand.price,
-        free=max(0.0, size - demand.busy),
+        price=demand.price_per_slot_s,
+        free=max(0.0, size - demand.busy_slots),
         ahead=0.0,
         # Of a pool that is full; what is free is told apart. Replicas do not end by themselves.
-        drain=max(0.0, size - demand.service) / max(1.0, mean_run),
+        drain=max(0.0, size - demand.standing_slots) / max(1.0, mean_run),
         steady_s=min(LONGEST_S, steady),
         growth=growth,
     )
@@ -62,7 +64,7 @@
 
 def pool_wait(spec: Job, tasks: int, pool: PoolState) -> float:
     """Expected seconds until so many of the job's tasks start in the pool."""
-    slots = tasks * weight(spec, pool.kind)
+    slots = tasks * slots_of_task(spec, pool.kind)
     lacking = slots + pool.ahead - pool.free
     if lacking <= 0:
         # There is room now; the less, the more likely it is gone on arrival.
@@ -95,5 +97,5 @@
     def take(self, at: int, spec: Job, tasks: int) -> None:
         """The job is on its way to this pool."""
         pool = self.states[at]
-        left = pool.free - tasks * weight(spec, pool.kind)
+        left = pool.free - tasks * slots_of_task(spec, pool.kind)
         self.states[at] = pool._replace(free=max(0.0, left), ahead=pool.ahead + max(0.0, -left))
--- a/coursefold/cells/guest.py
+++ b/coursefold/cells/guest.py
@@ -15,7 +15,7 @@
 from coursefold.cells.estimate import Pools
 from coursefold.cells.messages import Frame, GuestState, Handle, Offer, PoolState, Refusal
 from coursefold.cells.port import CorePort
-from coursefold.coordination.demand import slots, weight
+from coursefold.coordination.demand import slots_of_machine, slots_of_task
 from coursefold.protocol.ids import JobId, Moment
 from coursefold.storage import records
 from coursefold.storage.cell_records import CellLink, Guest, GuestStage
@@ -232,13 +232,15 @@
             found = pools.best(job.spec, left)
             if found is None or left <= 0:
                 continue
-            shares[found.pool] -= left * weight(job.spec, pools.states[found.pool].kind)
+            shares[found.pool] -= left * slots_of_task(job.spec, pools.states[found.pool].kind)
             if job.guest is not None and job.guest.stage == GuestStage.RESERVED:
                 pools.take(found.pool, job.spec, left)
         self.pools = [
             pool._replace(
                 free=max(0.0, min(pool.free, share)),
-                growth=min(pool.growth, float(self.config.guests.growth * slots(pool.kind))),
+                growth=min(
+                    pool.growth, float(self.config.guests.growth * slots_of_machine(pool.kind))
+                ),
             )
             for pool, share in zip(pools.states, shares, strict=True)
         ]
--- a/coursefold/cells/policy.py
+++ b/coursefold/cells/policy.py
@@ -11,7 +11,7 @@
 
 from coursefold.cells.config import SpillLimits
 from coursefold.cells.estimate import Expectation, Pools, fetch_s
-from coursefold.coordination.demand import weight
+from coursefold.coordination.demand import slots_of_task
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 
@@ -53,7 +53,7 @@
     """What moving costs, in seconds of wait."""
     pool = pools.states[at]
     dearer = max(0.0, pool.price - candidate.price)
-    slot_seconds = candidate.run_s * weight(candidate.spec, pool.kind)
+    slot_seconds = candidate.run_s * slots_of_task(candidate.spec, pool.kind)
     return HANDOVER_S + fetch_s(candidate.spec, pool) + (1 - eta) / eta * dearer * slot_seconds
 
 
--- a/coursefold/cells/port.py
+++ b/coursefold/cells/port.py
@@ -65,7 +65,7 @@
 
     def run_s(self, spec: Job) -> float:
         """Mean run time of a task of the job's class, as far as is known."""
-        return self.core.leader.runs.mean(spec, self.ctx.now)
+        return self.core.leader.runs.mean_run_s(spec, self.ctx.now)
 
     def eta(self) -> float:
         """The weight of wait against cost."""
@@ -89,16 +89,18 @@
                 continue
             pools.take(expected.pool, wait.job.spec, tasks)
             waiting.append(WaitingJob(wait.name, wait.job, tasks, wait.age, expected.wait))
-        demands = self.core.fleet.pools.demands.values()
-        return Queue(waiting, pools, [float(d.machines * d.k) for d in demands])
+        demands = self.core.fleet.pool_control.demands.values()
+        return Queue(
+            waiting, pools, [float(d.machine_count * d.slots_per_machine) for d in demands]
+        )
 
     def _pool_states(self) -> Iterable[PoolState]:
         fleet = self.core.fleet
-        for pool, demand in fleet.pools.demands.items():
-            places = (Place(pool.build, zone, pool.spot) for zone in demand.kind.zones)
+        for pool, demand in fleet.pool_control.demands.items():
+            places = (Place(pool.machine_type, zone, pool.spot) for zone in demand.type_info.zones)
             # Not those that are blocked just now: a place that refused is asked again and
             # again, and counts as full until the cloud has filled a whole request there.
-            grows = any(place not in fleet.hires.refusals for place in places)
+            grows = any(place not in fleet.rentals.refusal_counts for place in places)
             yield pool_state(demand, MOST_GROWTH if grows else 0.0)
 
     def is_idle(self) -> bool:
--- a/coursefold/coordination/cloud.py
+++ b/coursefold/coordination/cloud.py
@@ -23,46 +23,46 @@
 NO_ANSWER = 0
 
 
-class Verb(StrEnum):
+class CloudOperation(StrEnum):
     """What the cloud can be asked for."""
 
     CATALOG = "catalog"
     LIST = "list"
-    HIRE = "hire"
+    RENT = "hire"
     RETURN = "return"
 
 
-class HireSubject(NamedTuple):
+class RentalRequest(NamedTuple):
     """A rental request that awaits its answer, and the pool that it is for."""
 
     pool: PoolId
-    hire: Hire
+    rental: Hire
 
 
-class ListSubject(NamedTuple):
+class ListRequest(NamedTuple):
     """A page of the machine list, by the name that it begins after."""
 
-    page_from: str
+    start_after: str
 
 
-class ReturnSubject(NamedTuple):
+class ReturnRequest(NamedTuple):
     """Machines that are being given back."""
 
     machines: list[str]
 
 
-class CatalogSubject(NamedTuple):
+class CatalogRequest(NamedTuple):
     """The machine types and their prices."""
 
 
-Subject = HireSubject | ListSubject | ReturnSubject | CatalogSubject
+CloudRequest = RentalRequest | ListRequest | ReturnRequest | CatalogRequest
 
 
-class Pending(NamedTuple):
+class PendingCall(NamedTuple):
     """A request that awaits its answer."""
 
-    verb: Verb
-    subject: Subject
+    operation: CloudOperation
+    request: CloudRequest
 
 
 def has_no_capacity(status: int, body: bytes) -> bool:
@@ -77,41 +77,43 @@
         self.ctx = ctx
         rate = ctx.settings.params.cloud.rps
         self.budget = Budget(rate * OWN_SHARE, max(1.0, rate))
-        self.pending: dict[int, Pending] = {}
-        self.last_call = 0
-        self.pause_until = 0.0
-        self.most_hires = max(LEAST_HIRES_AT_ONCE, math.ceil(rate * OWN_SHARE * SLOW_ANSWER_S))
-
-    def send(self, verb: Verb, body: dict[str, Any], subject: Subject) -> bool:
+        self.pending_calls: dict[int, PendingCall] = {}
+        self.last_call_id = 0
+        self.paused_until = 0.0
+        self.max_rentals_in_flight = max(
+            LEAST_HIRES_AT_ONCE, math.ceil(rate * OWN_SHARE * SLOW_ANSWER_S)
+        )
+
+    def send(self, verb: CloudOperation, body: dict[str, Any], subject: CloudRequest) -> bool:
         """Send a request; False if the rate or what is under way does not allow it now."""
         ctx = self.ctx
-        if ctx.now < self.pause_until or self.budget.fill(ctx.now) < 1.0:
+        if ctx.now < self.paused_until or self.budget.fill(ctx.now) < 1.0:
             return False
-        most = self.most_hires if verb is Verb.HIRE else 1
-        if sum(1 for call in self.pending.values() if call.verb is verb) >= most:
+        most = self.max_rentals_in_flight if verb is CloudOperation.RENT else 1
+        if sum(1 for call in self.pending_calls.values() if call.operation is verb) >= most:
             return False
         self.budget.take(ctx.now, 1.0)
-        self.last_call += 1
-        self.pending[self.last_call] = Pending(verb, subject)
-        ctx.out.append(CloudCall(self.last_call, verb, body))
+        self.last_call_id += 1
+        self.pending_calls[self.last_call_id] = PendingCall(verb, subject)
+        ctx.out.append(CloudCall(self.last_call_id, verb, body))
         return True
 
-    def answered(self, call: int, status: int, body: bytes) -> Pending | None:
+    def match_response(self, call: int, status: int, body: bytes) -> PendingCall | None:
         """The request that an answer belongs to; None if it is no longer awaited."""
-        pending = self.pending.pop(call, None)
+        pending = self.pending_calls.pop(call, None)
         if pending is None:
             return None
         if status == 429:
-            self.pause_until = self.ctx.now + RATE_PAUSE_S
+            self.paused_until = self.ctx.now + RATE_PAUSE_S
         elif status == NO_ANSWER or (status == 503 and not has_no_capacity(status, body)):
-            self.pause_until = self.ctx.now + OUTAGE_PAUSE_S
+            self.paused_until = self.ctx.now + OUTAGE_PAUSE_S
         return pending
 
-    def hires_under_way(self) -> set[str]:
+    def rentals_in_flight(self) -> set[str]:
         """Names of the rental requests that await an answer."""
-        subjects = (call.subject for call in self.pending.values())
-        return {s.hire.name for s in subjects if isinstance(s, HireSubject)}
+        subjects = (call.request for call in self.pending_calls.values())
+        return {s.rental.name for s in subjects if isinstance(s, RentalRequest)}
 
-    def forget(self) -> None:
+    def discard_pending(self) -> None:
         """Drop what a former leadership asked for; late answers then change nothing."""
-        self.pending.clear()
+        self.pending_calls.clear()
--- a/coursefold/coordination/core.py
+++ b/coursefold/coordination/core.py
@@ -16,7 +16,7 @@
 from coursefold.coordination.effects import Answer, Effect, Tell
 from coursefold.coordination.election import Election
 from coursefold.coordination.extension import Extension
-from coursefold.coordination.fleet import Fleet
+from coursefold.coordination.fleet import FleetManager
 from coursefold.coordination.forward import Forwarding
 from coursefold.coordination.leader import Leader
 from coursefold.coordination.owner import Owner
@@ -64,7 +64,7 @@
         self.forwarding = Forwarding(self.ctx, self.tellers)
         self.owner = Owner(self.ctx, self.election, self.forwarding.edit)
         self.leader = Leader(self.ctx, self.owner)
-        self.fleet = Fleet(self.ctx, self.leader)
+        self.fleet = FleetManager(self.ctx, self.leader)
         self.extensions: list[Extension] = []
         self.requests = Requests(self.ctx, lambda: self.leader.reasons)
         self.was_leading = False
@@ -155,7 +155,7 @@
 
     def cloud(self, call: int, status: int, body: bytes) -> None:
         """What the cloud answered to a request; status 0 is no answer."""
-        self.fleet.outcome(call, status, body)
+        self.fleet.handle_response(call, status, body)
 
     # Workers
 
--- a/coursefold/coordination/demand.py
+++ b/coursefold/coordination/demand.py
@@ -20,7 +20,7 @@
     fits_type,
     share,
 )
-from coursefold.coordination.queueing import optimum
+from coursefold.coordination.queueing import find_optimal_servers
 from coursefold.protocol.wire import Catalog, Job, MachineType
 
 RELIEF_S = 30.0
@@ -33,99 +33,105 @@
 class PoolId(NamedTuple):
     """Alike machines: one type, ordinary or spot."""
 
-    build: str
+    machine_type: str
     spot: bool
 
     def __str__(self) -> str:
-        return f"{self.build}/{'spot' if self.spot else 'ordinary'}"
+        return f"{self.machine_type}/{'spot' if self.spot else 'ordinary'}"
 
 
-def slots(kind: MachineType) -> int:
+def slots_of_machine(kind: MachineType) -> int:
     """Slots of one machine."""
     return max(1, round(kind.gpus or kind.cpus))
 
 
-def weight(spec: Job, kind: MachineType) -> float:
+def slots_of_task(spec: Job, kind: MachineType) -> float:
     """Slots that a task takes."""
-    return share(spec, kind) * slots(kind)
+    return share(spec, kind) * slots_of_machine(kind)
 
 
-class Runs:
+class RunTimes:
     """Mean time on a machine by class, from tasks finished in the last 30 minutes."""
 
     def __init__(self) -> None:
-        self.seen: dict[str, deque[tuple[float, float]]] = {}
-        self.means: dict[str, float] = {}
-        self.counted_at = 0.0
+        self.samples: dict[str, deque[tuple[float, float]]] = {}
+        self.cached_means_s: dict[str, float] = {}
+        self.cached_at = 0.0
 
     def add(self, lane: str, seconds: float, now: float) -> None:
         """Note how long a task of a class was on its machine."""
-        self.seen.setdefault(lane, deque(maxlen=200)).append((now, seconds))
-        self.means.pop(lane, None)
+        self.samples.setdefault(lane, deque(maxlen=200)).append((now, seconds))
+        self.cached_means_s.pop(lane, None)
 
-    def mean(self, spec: Job, now: float) -> float:
+    def mean_run_s(self, spec: Job, now: float) -> float:
         """The measured mean, or the owner's estimate if no task finished yet."""
-        if now - self.counted_at > 30.0:
-            self.means.clear()
-            self.counted_at = now
-        found = self.means.get(spec.lane)
+        if now - self.cached_at > 30.0:
+            self.cached_means_s.clear()
+            self.cached_at = now
+        found = self.cached_means_s.get(spec.lane)
         if found is not None:
             return found
-        seen = self.seen.get(spec.lane)
+        seen = self.samples.get(spec.lane)
         while seen and seen[0][0] < now - HISTORY_S:
             seen.popleft()
         if seen:
-            mean = self.means[spec.lane] = max(MIN_RUN_S, sum(s for _, s in seen) / len(seen))
+            mean = self.cached_means_s[spec.lane] = max(
+                MIN_RUN_S, sum(s for _, s in seen) / len(seen)
+            )
             return mean
         return max(MIN_RUN_S, spec.estimate or DEFAULT_RUN_S)
 
 
-class Need(NamedTuple):
+class UnplacedTasks(NamedTuple):
     """Unplaced tasks of one job, and the seconds they may still wait for their aims."""
 
     spec: Job
-    tasks: int
-    zones: dict[str, int]
-    slack: float = 0.0
-    age: float = 0.0
+    task_count: int
+    tasks_by_zone: dict[str, int]
+    slack_s: float = 0.0
+    age_s: float = 0.0
 
 
 class PoolDemand:
     """What one pool is asked for, in slots."""
 
     def __init__(self, kind: MachineType, spot: bool, window: float) -> None:
-        self.kind, self.spot, self.window = kind, spot, window
-        self.k = slots(kind)
-        self.arrivals = 0.0
-        self.squares = 0.0
-        self.work = 0.0
-        self.busy = 0.0
-        self.batch = 0.0
-        self.batch_work = 0.0
-        self.promised = 0.0
-        self.service = 0.0
-        self.queued = 0.0
-        self.backlog = 0.0
-        self.gang = 0.0
-        self.apart = 0.0
-        self.zones: dict[str, float] = {}
+        self.type_info, self.spot, self.window_s = kind, spot, window
+        self.slots_per_machine = slots_of_machine(kind)
+        self.arrived_slots = 0.0
+        self.arrived_slots_squared = 0.0
+        self.arrived_slot_s = 0.0
+        self.busy_slots = 0.0
+        self.batch_slots = 0.0
+        self.batch_slot_s = 0.0
+        self.claimed_slots = 0.0
+        self.standing_slots = 0.0
+        self.queued_slots = 0.0
+        self.backlog_slots = 0.0
+        self.gang_slots = 0.0
+        self.zone_bound_slots = 0.0
+        self.slots_by_zone: dict[str, float] = {}
         self.capped = False
-        self.machines = 0
+        self.machine_count = 0
 
     @property
-    def price(self) -> float:
+    def price_per_slot_s(self) -> float:
         """Per slot and second."""
-        return (self.kind.spot_price if self.spot else self.kind.price) / 3600.0 / self.k
+        return (
+            (self.type_info.spot_price if self.spot else self.type_info.price)
+            / 3600.0
+            / self.slots_per_machine
+        )
 
     @property
-    def mean_busy(self) -> float:
+    def mean_batch_run_s(self) -> float:
         """Mean time of the tasks in place."""
-        return self.batch_work / self.batch if self.batch else DEFAULT_RUN_S
+        return self.batch_slot_s / self.batch_slots if self.batch_slots else DEFAULT_RUN_S
 
     @property
-    def mean_run(self) -> float:
+    def mean_run_s(self) -> float:
         """Mean time that an arrival takes a slot, 1/μ."""
-        return self.work / self.arrivals if self.arrivals else DEFAULT_RUN_S
+        return self.arrived_slot_s / self.arrived_slots if self.arrived_slots else DEFAULT_RUN_S
 
     @property
     def batch_factor(self) -> float:
@@ -134,21 +140,31 @@
         The second moment's part in the wait of M^[X]/M/c queues: in a lump of X, a slot
         finds half the others of its lump before it, besides what waits already.
         """
-        return max(1.0, (1.0 + self.squares / self.arrivals) / 2) if self.arrivals else 1.0
+        return (
+            max(1.0, (1.0 + self.arrived_slots_squared / self.arrived_slots) / 2)
+            if self.arrived_slots
+            else 1.0
+        )
 
-    def target(self, eta: float) -> float:
+    def target_slots(self, eta: float) -> float:
         """c*: the optimum of cost against wait, and the raises."""
-        rate = self.arrivals / self.window
+        rate = self.arrived_slots / self.window_s
         base = 0.0
         if rate:
-            base = float(optimum(rate, 1 / self.mean_run, self.price, eta, self.batch_factor))
-        raised = self.busy + self.queued + max(self.backlog, self.gang)
-        if self.apart:
+            base = float(
+                find_optimal_servers(
+                    rate, 1 / self.mean_run_s, self.price_per_slot_s, eta, self.batch_factor
+                )
+            )
+        raised = self.busy_slots + self.queued_slots + max(self.backlog_slots, self.gang_slots)
+        if self.zone_bound_slots:
             # A gang, or a job bound to a zone, has waited for room of one zone: what is free,
             # half a machine here and a whole one in another zone, does not help it, so the
             # pool grows from its size.
-            raised = max(raised, self.machines * self.k + self.apart)
-        return max(base + self.service, raised)
+            raised = max(
+                raised, self.machine_count * self.slots_per_machine + self.zone_bound_slots
+            )
+        return max(base + self.standing_slots, raised)
 
 
 def effective_price(spec: Job, kind: MachineType, spot: bool, run: float, loss: float) -> float:
@@ -160,23 +176,23 @@
     return hourly * share(spec, kind) * overhead
 
 
-class Planner:
+class DemandPlanner:
     """Spreads demand over pools, the cheapest first, for one moment."""
 
     def __init__(
         self,
         catalog: Catalog,
-        runs: Runs,
+        runs: RunTimes,
         now: float,
         blocked: dict[Place, float],
         losses: dict[PoolId, float],
         window: float,
         market: Market = NO_MARKET,
     ) -> None:
-        self.window, self.market = window, market
+        self.window_s, self.market = window, market
         self.refused = Refused()
-        self.catalog, self.runs, self.now = catalog, runs, now
-        self.blocked, self.losses = blocked, losses
+        self.catalog, self.run_times, self.now = catalog, runs, now
+        self.blocked_until, self.loss_rates = blocked, losses
         self.pools = {
             PoolId(kind.name, spot): PoolDemand(kind, spot, window)
             for kind in catalog.builds
@@ -191,87 +207,91 @@
         """
         return not spec.gpus and kind.gpus > 0 and bool(self.market.accelerated)
 
-    def choices(self, spec: Job) -> list[PoolId]:
+    def eligible_pools(self, spec: Job) -> list[PoolId]:
         """Pools that the job allows, cheapest first."""
-        run = self.runs.mean(spec, self.now) if spec.shape != "standing" else 600.0
+        run = self.run_times.mean_run_s(spec, self.now) if spec.shape != "standing" else 600.0
         found = []
         for pool, demand in self.pools.items():
-            if fits_type(spec, demand.kind) and (spec.spot or not pool.spot):
-                loss = self.losses.get(pool, 0.0)
-                price = effective_price(spec, demand.kind, pool.spot, run, loss)
-                found.append((price + self.market.displaced(spec, demand.kind), pool))
+            if fits_type(spec, demand.type_info) and (spec.spot or not pool.spot):
+                loss = self.loss_rates.get(pool, 0.0)
+                price = effective_price(spec, demand.type_info, pool.spot, run, loss)
+                found.append((price + self.market.displaced(spec, demand.type_info), pool))
         return [pool for _, pool in sorted(found)]
 
     def open_zones(self, pool: PoolId, spec: Job) -> list[str]:
         """Zones where the pool could still grow for this job."""
-        zones = self.pools[pool].kind.zones if spec.zone is None else [spec.zone]
+        zones = self.pools[pool].type_info.zones if spec.zone is None else [spec.zone]
         return [
-            z for z in zones if self.blocked.get(Place(pool.build, z, pool.spot), 0.0) <= self.now
+            z
+            for z in zones
+            if self.blocked_until.get(Place(pool.machine_type, z, pool.spot), 0.0) <= self.now
         ]
 
-    def arrived(self, spec: Job, tasks: int) -> None:
+    def count_arrival(self, spec: Job, tasks: int) -> None:
         """Count an arrival of the window; a pool that cannot grow takes what it has."""
         if spec.shape == "standing":
             return
-        run = self.runs.mean(spec, self.now)
+        run = self.run_times.mean_run_s(spec, self.now)
         left = float(tasks)
-        choices = self.choices(spec)
+        choices = self.eligible_pools(spec)
         for at, pool in enumerate(choices):
             demand = self.pools[pool]
-            if self._leftover(spec, demand.kind):
+            if self._leftover(spec, demand.type_info):
                 return
-            w = weight(spec, demand.kind)
+            w = slots_of_task(spec, demand.type_info)
             take = left
             if not self.open_zones(pool, spec) and at + 1 < len(choices):
-                able = demand.machines * demand.k * self.window / max(run, 1.0)
-                take = min(left, max(0.0, able - demand.arrivals) / w)
-            demand.arrivals += take * w
-            demand.squares += (take * w) ** 2
-            demand.work += take * w * run
+                able = (
+                    demand.machine_count * demand.slots_per_machine * self.window_s / max(run, 1.0)
+                )
+                take = min(left, max(0.0, able - demand.arrived_slots) / w)
+            demand.arrived_slots += take * w
+            demand.arrived_slots_squared += (take * w) ** 2
+            demand.arrived_slot_s += take * w * run
             left -= take
             if left <= 0:
                 return
 
-    def running(self, spec: Job, pool: PoolId) -> None:
+    def count_running(self, spec: Job, pool: PoolId) -> None:
         """Count a task that has a place in the pool."""
         demand = self.pools.get(pool)
-        if demand is None or self._leftover(spec, demand.kind):
+        if demand is None or self._leftover(spec, demand.type_info):
             return
-        w = weight(spec, demand.kind)
-        demand.busy += w
+        w = slots_of_task(spec, demand.type_info)
+        demand.busy_slots += w
         if spec.shape == "standing":
-            demand.service += w
+            demand.standing_slots += w
         else:
-            demand.batch += w
-            demand.batch_work += w * self.runs.mean(spec, self.now)
+            demand.batch_slots += w
+            demand.batch_slot_s += w * self.run_times.mean_run_s(spec, self.now)
 
-    def pack(self, needs: Iterable[Need], rooms: list[Room]) -> None:
+    def pack_waiting(self, needs: Iterable[UnplacedTasks], rooms: list[Room]) -> None:
         """Waiting tasks take the free and the booting room first; the rest asks for more."""
         floor = gangs.Floor(r for r in rooms if not r.lent)
         for need in needs:
             spec = need.spec
-            if spec.shape == "ensemble" and need.tasks > 1:
+            if spec.shape == "ensemble" and need.task_count > 1:
                 self._pack_gang(need, floor)
                 continue
-            zones = dict(need.zones)
+            zones = dict(need.tasks_by_zone)
             picker = (
                 None
                 if self.refused.covers(spec)
                 else Picker(spec, rooms, zones, market=self.market)
             )
-            for done in range(need.tasks):
+            for done in range(need.task_count):
                 room = picker.take() if picker else None
                 if room is None:
                     if not (spec.apart or spec.together):
                         self.refused.add(spec)
-                    left = need.tasks - done
+                    left = need.task_count - done
                     left -= self._relieved(need, left)
                     if left > 0:
                         self._grow(need, left, zones)
                     break
                 self._queue(spec, PoolId(room.kind.name, room.spot))
 
-    def _relieved(self, need: Need, tasks: int) -> int:
+    def _relieved(self, need: UnplacedTasks, tasks: int) -> int:
         """Waiting tasks that busy slots will have room for in time anyway.
 
         "In time" is half a minute, or what the job's aims leave; but never less than
@@ -282,27 +302,27 @@
         if spec.shape == "standing":
             return 0
         found = 0
-        for pool in self.choices(spec):
+        for pool in self.eligible_pools(spec):
             demand = self.pools[pool]
-            horizon = max(demand.kind.boot, min(need.slack, RELIEF_S))
-            w = weight(spec, demand.kind)
-            freed = demand.batch * min(1.0, horizon / max(demand.mean_busy, 1.0))
-            take = min(tasks - found, int((freed - demand.promised) / w))
+            horizon = max(demand.type_info.boot, min(need.slack_s, RELIEF_S))
+            w = slots_of_task(spec, demand.type_info)
+            freed = demand.batch_slots * min(1.0, horizon / max(demand.mean_batch_run_s, 1.0))
+            take = min(tasks - found, int((freed - demand.claimed_slots) / w))
             if take > 0:
-                demand.promised += take * w
+                demand.claimed_slots += take * w
                 found += take
         return found
 
     def _queue(self, spec: Job, pool: PoolId) -> None:
         demand = self.pools[pool]
-        if self._leftover(spec, demand.kind):
+        if self._leftover(spec, demand.type_info):
             return
-        w = weight(spec, demand.kind)
-        demand.queued += w
+        w = slots_of_task(spec, demand.type_info)
+        demand.queued_slots += w
         if spec.shape == "standing":
-            demand.service += w
+            demand.standing_slots += w
 
-    def _pack_gang(self, need: Need, floor: gangs.Floor) -> None:
+    def _pack_gang(self, need: UnplacedTasks, floor: gangs.Floor) -> None:
         rooms = floor.holding(need.spec)
         plan = gangs.fill(need.spec, rooms, self.market)
         if plan is not None:
@@ -310,7 +330,7 @@
                 room.take(need.spec)
                 self._queue(need.spec, PoolId(room.kind.name, room.spot))
             return
-        for pool in self.choices(need.spec):
+        for pool in self.eligible_pools(need.spec):
             open_zones = self.open_zones(pool, need.spec)
             if not open_zones:
                 continue
@@ -320,9 +340,9 @@
             }
             zone = max(open_zones, key=lambda z: (have[z], z))
             demand = self.pools[pool]
-            w = weight(need.spec, demand.kind)
+            w = slots_of_task(need.spec, demand.type_info)
             # What the zone has free is kept for the gang; the rest has to be rented.
-            kept = min(have[zone], need.tasks)
+            kept = min(have[zone], need.task_count)
             for room in rooms:
                 if not kept:
                     break
@@ -330,34 +350,34 @@
                     room.take(need.spec)
                     self._queue(need.spec, PoolId(room.kind.name, room.spot))
                     kept -= 1
-            short = need.tasks - min(have[zone], need.tasks)
-            demand.gang += short * w
-            if need.age > PATIENT_S:
-                demand.apart += short * w
-            demand.zones[zone] = demand.zones.get(zone, 0.0) + short * w
+            short = need.task_count - min(have[zone], need.task_count)
+            demand.gang_slots += short * w
+            if need.age_s > PATIENT_S:
+                demand.zone_bound_slots += short * w
+            demand.slots_by_zone[zone] = demand.slots_by_zone.get(zone, 0.0) + short * w
             return
 
-    def _grow(self, need: Need, tasks: int, zones: dict[str, int]) -> None:
+    def _grow(self, need: UnplacedTasks, tasks: int, zones: dict[str, int]) -> None:
         """Ask the cheapest pool that can still grow; none can: the task just waits."""
         spec = need.spec
-        for pool in self.choices(spec):
+        for pool in self.eligible_pools(spec):
             open_zones = self.open_zones(pool, spec)
             if spec.together and zones:
                 open_zones = [z for z in open_zones if z in zones]
             if not open_zones:
                 continue
             demand = self.pools[pool]
-            w = weight(spec, demand.kind)
+            w = slots_of_task(spec, demand.type_info)
             for _ in range(tasks):
                 if spec.apart or spec.zone is not None:
                     zone = min(open_zones, key=lambda z: (zones.get(z, 0), z))
                     zones[zone] = zones.get(zone, 0) + 1
-                    demand.zones[zone] = demand.zones.get(zone, 0.0) + w
-                if spec.zone is not None and need.age > PATIENT_S:
-                    demand.apart += w
+                    demand.slots_by_zone[zone] = demand.slots_by_zone.get(zone, 0.0) + w
+                if spec.zone is not None and need.age_s > PATIENT_S:
+                    demand.zone_bound_slots += w
                 if spec.shape == "standing":
-                    demand.service += w
-                    demand.queued += w
+                    demand.standing_slots += w
+                    demand.queued_slots += w
                 else:
-                    demand.backlog += w
+                    demand.backlog_slots += w
             return
--- a/coursefold/coordination/fleet.py
+++ b/coursefold/coordination/fleet.py
@@ -12,20 +12,20 @@
 from msgspec import Struct
 
 from coursefold.coordination.cloud import (
-    CatalogSubject,
+    CatalogRequest,
     CloudClient,
-    HireSubject,
-    ListSubject,
-    ReturnSubject,
-    Subject,
-    Verb,
+    CloudOperation,
+    CloudRequest,
+    ListRequest,
+    RentalRequest,
+    ReturnRequest,
 )
 from coursefold.coordination.context import Context
-from coursefold.coordination.hires import HireBook
-from coursefold.coordination.inventory import SPARE, Inventory
+from coursefold.coordination.inventory import SPARE_REASON, Inventory
 from coursefold.coordination.leader import Leader
 from coursefold.coordination.placement import Place
-from coursefold.coordination.pools import LONGEST_PERIOD_S, PoolControl
+from coursefold.coordination.pools import MAX_PERIOD_S, PoolControl
+from coursefold.coordination.rentals import RentalManager
 from coursefold.protocol.wire import Catalog, Listed, MachineList, MalformedError, decode
 from coursefold.storage import records
 from coursefold.storage.edits import LATER, Edit, NotApplicableError, Result
@@ -44,7 +44,7 @@
 OK = 200
 
 
-class Fleet:
+class FleetManager:
     """Rents, watches and returns machines while this node leads."""
 
     def __init__(self, ctx: Context, leader: Leader) -> None:
@@ -53,53 +53,53 @@
         self.parameters = ctx.policy.parameters
         self.cloud = CloudClient(ctx)
         self.inventory = Inventory(ctx, self.parameters.loss_window, leader.owner.depart)
-        self.hires = HireBook(ctx, self.cloud, self.inventory)
-        self.pools = PoolControl(ctx, leader, self.inventory, self.hires)
+        self.rentals = RentalManager(ctx, self.cloud, self.inventory)
+        self.pool_control = PoolControl(ctx, leader, self.inventory, self.rentals)
         self.leading_token = 0
-        self.catalog_at = -math.inf
-        self._clear()
+        self.catalog_read_at = -math.inf
+        self._reset()
 
-    def _clear(self) -> None:
+    def _reset(self) -> None:
         """A new leader starts from reports and lists."""
-        self.inventory.clear()
-        self.hires.clear()
-        self.pools.clear()
-        self.cloud.forget()
-        self.listed: list[Listed] = []
-        self.page_from = ""
+        self.inventory.reset()
+        self.rentals.reset()
+        self.pool_control.reset()
+        self.cloud.discard_pending()
+        self.listed_machines: list[Listed] = []
+        self.page_start = ""
         self.lists_read = 0
-        self.list_at = -math.inf
-        self.plan_at = -math.inf
-        self.watch_at = -math.inf
+        self.list_requested_at = -math.inf
+        self.planned_at = -math.inf
+        self.watched_at = -math.inf
 
     # Answers of the cloud
 
-    def outcome(self, call: int, status: int, body: bytes) -> None:
+    def handle_response(self, call: int, status: int, body: bytes) -> None:
         """An answer of the cloud; status 0 is no answer."""
-        pending = self.cloud.answered(call, status, body)
+        pending = self.cloud.match_response(call, status, body)
         if pending is None or not self.ctx.leading():
             return
         try:
-            self._take_answer(pending.subject, status, body)
+            self._take_answer(pending.request, status, body)
         except MalformedError as wrong:
-            log.error("cloud answer to %s is not readable: %s", pending.verb, wrong)
+            log.error("cloud answer to %s is not readable: %s", pending.operation, wrong)
 
-    def _take_answer(self, subject: Subject, status: int, body: bytes) -> None:
-        if isinstance(subject, HireSubject):
-            self.hires.take_answer(subject, status, body)
+    def _take_answer(self, subject: CloudRequest, status: int, body: bytes) -> None:
+        if isinstance(subject, RentalRequest):
+            self.rentals.handle_response(subject, status, body)
         elif status != OK:
             return  # asked again in its time
-        elif isinstance(subject, CatalogSubject):
+        elif isinstance(subject, CatalogRequest):
             self._take_catalog(decode(body, Catalog))
-        elif isinstance(subject, ListSubject):
+        elif isinstance(subject, ListRequest):
             self._take_page(subject, decode(body, MachineList))
-        elif isinstance(subject, ReturnSubject):
-            self.inventory.take_returned(subject.machines)
+        elif isinstance(subject, ReturnRequest):
+            self.inventory.record_returned(subject.machines)
         else:
             assert_never(subject)
 
     def _take_catalog(self, catalog: Catalog) -> None:
-        self.catalog_at = self.ctx.now
+        self.catalog_read_at = self.ctx.now
 
         def change(current: Struct | None) -> Result:
             if current == catalog:
@@ -115,18 +115,18 @@
         fence = self.ctx.view.token
         self.ctx.queue.propose(Edit(key, change, fence=fence, rank=LATER, tag="catalog"))
 
-    def _take_page(self, subject: ListSubject, page: MachineList) -> None:
-        if subject.page_from != self.page_from:
+    def _take_page(self, subject: ListRequest, page: MachineList) -> None:
+        if subject.start_after != self.page_start:
             return
-        self.listed.extend(page.machines)
+        self.listed_machines.extend(page.machines)
         if page.more and page.machines:
-            self.page_from = page.machines[-1].name
+            self.page_start = page.machines[-1].name
             self._ask_list()
             return
-        self.page_from = ""
-        rows, self.listed = self.listed, []
+        self.page_start = ""
+        rows, self.listed_machines = self.listed_machines, []
         self.lists_read += 1
-        self.inventory.take_list(rows, self._list_every())
+        self.inventory.update_from_list(rows, self._list_every())
 
     # Each tick
 
@@ -138,37 +138,39 @@
             return
         if self.leading_token != ctx.view.token:
             self._begin()
-        if ctx.view.catalog is None or ctx.now - self.catalog_at > CATALOG_EVERY_S:
-            self.cloud.send(Verb.CATALOG, {}, CatalogSubject())
+        if ctx.view.catalog is None or ctx.now - self.catalog_read_at > CATALOG_EVERY_S:
+            self.cloud.send(CloudOperation.CATALOG, {}, CatalogRequest())
         self._ask_list()
         if ctx.view.catalog is None:
             return
-        if ctx.now - self.watch_at >= WATCH_EVERY_S:
+        if ctx.now - self.watched_at >= WATCH_EVERY_S:
             self._watch()
-        self.leader.blocked = {p for p, until in self.hires.blocked.items() if until > ctx.now}
-        self.hires.send(self.lists_read)
+        self.leader.blocked = {
+            p for p, until in self.rentals.blocked_until.items() if until > ctx.now
+        }
+        self.rentals.send_pending(self.lists_read)
         self._send_returns()
-        if ctx.now - self.plan_at >= self.parameters.period and self.lists_read > 0:
-            elapsed = min(LONGEST_PERIOD_S, ctx.now - self.plan_at)
-            self.plan_at = ctx.now
-            self.pools.plan(ctx.view.catalog, elapsed)
+        if ctx.now - self.planned_at >= self.parameters.period and self.lists_read > 0:
+            elapsed = min(MAX_PERIOD_S, ctx.now - self.planned_at)
+            self.planned_at = ctx.now
+            self.pool_control.plan(ctx.view.catalog, elapsed)
 
     def _begin(self) -> None:
         """Lead under a new fencing token."""
         if self.leading_token == 0 or not self.inventory.machines:
-            self._clear()
+            self._reset()
         self.leading_token = self.ctx.view.token
-        self.inventory.leads_since = self.ctx.now
-        self.cloud.forget()
-        self.hires.begin()
+        self.inventory.leading_since = self.ctx.now
+        self.cloud.discard_pending()
+        self.rentals.begin_term()
 
     def _watch(self) -> None:
-        self.watch_at = self.ctx.now
-        self.inventory.watch()
+        self.watched_at = self.ctx.now
+        self.inventory.update_from_owners()
         self.leader.booting = [
-            Place(machine.build, machine.zone, machine.spot)
+            Place(machine.machine_type, machine.zone, machine.spot)
             for machine in self.inventory.machines.values()
-            if not machine.up and machine.id not in self.inventory.returning
+            if not machine.is_up and machine.id not in self.inventory.returning
         ]
 
     def _ask_list(self) -> None:
@@ -178,15 +180,15 @@
         again: over 500 machines every list has several, and a list that is given up for one
         of them, just when hundreds are rented, would leave the fleet unseen.
         """
-        if self.page_from:
-            body = {"From": self.page_from, "Page": MACHINES_PER_PAGE}
-            self.cloud.send(Verb.LIST, body, ListSubject(self.page_from))
+        if self.page_start:
+            body = {"From": self.page_start, "Page": MACHINES_PER_PAGE}
+            self.cloud.send(CloudOperation.LIST, body, ListRequest(self.page_start))
             return
-        if self.ctx.now - self.list_at <= self._list_every():
+        if self.ctx.now - self.list_requested_at <= self._list_every():
             return
-        if self.cloud.send(Verb.LIST, {"Page": MACHINES_PER_PAGE}, ListSubject("")):
-            self.list_at = self.ctx.now
-            self.listed = []
+        if self.cloud.send(CloudOperation.LIST, {"Page": MACHINES_PER_PAGE}, ListRequest("")):
+            self.list_requested_at = self.ctx.now
+            self.listed_machines = []
 
     def _list_every(self) -> float:
         """Seconds from one list to the next: a large fleet's takes more calls."""
@@ -199,10 +201,10 @@
         ready = [
             name
             for name, why in list(self.inventory.returning.items())
-            if why != SPARE or self._is_lent(name)
+            if why != SPARE_REASON or self._is_lent(name)
         ][:RETURNS_PER_REQUEST]
         if ready:
-            self.cloud.send(Verb.RETURN, {"Boxes": ready}, ReturnSubject(ready))
+            self.cloud.send(CloudOperation.RETURN, {"Boxes": ready}, ReturnRequest(ready))
 
     def _is_lent(self, machine: str) -> bool:
         """A spare machine goes back only while its owner keeps it free."""
--- a/coursefold/coordination/inventory.py
+++ b/coursefold/coordination/inventory.py
@@ -12,7 +12,7 @@
 from coursefold.coordination import jobs
 from coursefold.coordination.context import DRIFT, Context
 from coursefold.coordination.demand import PoolId
-from coursefold.coordination.stability import Losses
+from coursefold.coordination.loss_tracker import LossTracker
 from coursefold.protocol.wire import Listed
 from coursefold.storage.edits import Edit
 from coursefold.storage.records import DEALT, job_key
@@ -27,43 +27,43 @@
 SETTLING_S = 4.0  # beyond a lease, until every worker should have shown the new token
 RETURNED_REMEMBERED_S = 180.0  # the cloud's list may show a returned machine meanwhile
 NEW_LEADER_S = 10.0  # what falls silent before this was lost before our time
-SPARE = "spare"
+SPARE_REASON = "spare"
 
 
 class OwnerReport(NamedTuple):
     """What a machine's owner says of it."""
 
     silent_s: float
-    sick: bool
-    lost: bool
-    deaf: bool
+    quarantined: bool
+    lease_expired: bool
+    responses_lost: bool
 
 
 class RentedMachine:
     """A machine that the leader believes to exist."""
 
     __slots__ = (
-        "build", "hired_at", "id", "listed_at", "lost", "sick", "silent_s", "spot",
-        "status", "up", "zone",
+        "id", "is_up", "lease_expired", "listed_at", "machine_type", "quarantined", "rented_at",
+        "silent_s", "spot", "status", "zone",
     )  # fmt: skip
 
     def __init__(self, id: str, build: str, zone: str, spot: bool, hired_at: float) -> None:
         self.id = id
-        self.build = build
+        self.machine_type = build
         self.zone = zone
         self.spot = spot
-        self.hired_at = hired_at
+        self.rented_at = hired_at
         self.listed_at = 0.0
         self.status = "starting"
-        self.up = False
-        self.lost = False
-        self.sick = False
+        self.is_up = False
+        self.lease_expired = False
+        self.quarantined = False
         self.silent_s = 0.0
 
     @property
     def pool(self) -> PoolId:
         """The pool of machines like this one."""
-        return PoolId(self.build, self.spot)
+        return PoolId(self.machine_type, self.spot)
 
 
 class Inventory:
@@ -71,31 +71,31 @@
 
     def __init__(self, ctx: Context, loss_window: float, depart: Callable[[str], None]) -> None:
         self.ctx = ctx
-        self.loss_window = loss_window
-        self.depart = depart
-        self.leads_since = 0.0
-        self.clear()
+        self.loss_window_s = loss_window
+        self.mark_departed = depart
+        self.leading_since = 0.0
+        self.reset()
 
-    def clear(self) -> None:
+    def reset(self) -> None:
         """Begin anew from reports and lists, as a new leader does."""
         self.machines: dict[str, RentedMachine] = {}
-        self.returned: dict[str, float] = {}
+        self.returned_at: dict[str, float] = {}
         self.returning: dict[str, str] = {}
-        self.losses: dict[PoolId, Losses] = {}
+        self.loss_trackers: dict[PoolId, LossTracker] = {}
 
     # What the cloud says
 
     def add(self, name: str, pool: PoolId, zone: str, hired_at: float) -> None:
         """Note a machine that the cloud rented to us, unless it is known or was returned."""
-        if name not in self.machines and name not in self.returned:
-            self.machines[name] = RentedMachine(name, pool.build, zone, pool.spot, hired_at)
+        if name not in self.machines and name not in self.returned_at:
+            self.machines[name] = RentedMachine(name, pool.machine_type, zone, pool.spot, hired_at)
 
-    def take_list(self, rows: Iterable[Listed], list_every_s: float) -> None:
+    def update_from_list(self, rows: Iterable[Listed], list_every_s: float) -> None:
         """Note a whole machine list; what it lacks for long enough is lost."""
         ctx = self.ctx
         lag = ctx.settings.params.cloud.list_lag_s
         for row in rows:
-            if row.name in self.returned:
+            if row.name in self.returned_at:
                 continue
             if row.name not in self.machines:
                 pool = PoolId(row.build, row.spot)
@@ -105,29 +105,29 @@
             machine.listed_at = ctx.now
             machine.status = row.status
         for machine in list(self.machines.values()):
-            unlisted = ctx.now - max(machine.listed_at, machine.hired_at + lag)
+            unlisted = ctx.now - max(machine.listed_at, machine.rented_at + lag)
             if unlisted > 2 * lag + 2 * list_every_s and not self._reports(machine):
                 log.info("machine %s is listed no more", machine.id)
                 self._lose(machine)
 
-    def take_returned(self, names: Iterable[str]) -> None:
+    def record_returned(self, names: Iterable[str]) -> None:
         """Machines that were given back: they and everything on them are gone, which is proof."""
         for name in names:
             log.info("machine %s returned (%s)", name, self.returning.get(name, ""))
-            self.returned[name] = self.ctx.now
+            self.returned_at[name] = self.ctx.now
             self.returning.pop(name, None)
             self.machines.pop(name, None)
-            self.depart(name)
+            self.mark_departed(name)
             self._tasks_are_gone(name)
 
     # What owners say
 
-    def watch(self) -> None:
+    def update_from_owners(self) -> None:
         """Bring what owners hear together with what the cloud lists."""
         reports, current_owners = self._owner_reports()
         cut_off = self._cut_off_zones(reports)
         for machine in list(self.machines.values()):
-            if machine.id in self.returned:
+            if machine.id in self.returned_at:
                 continue
             report = reports.get(machine.id)
             if report is not None:
@@ -135,9 +135,9 @@
             else:
                 self._check_unheard(machine, current_owners, cut_off)
         self._prove_orphans_gone(reports, current_owners, cut_off)
-        for name, at in list(self.returned.items()):
+        for name, at in list(self.returned_at.items()):
             if self.ctx.now - at > RETURNED_REMEMBERED_S:
-                del self.returned[name]
+                del self.returned_at[name]
 
     def _owner_reports(self) -> tuple[dict[str, OwnerReport], set[str]]:
         """Reports on all machines that are heard of, and the owners that are up to date."""
@@ -167,18 +167,22 @@
     def _apply(self, machine: RentedMachine, report: OwnerReport, cut_off: bool) -> None:
         """Note an owner's report on a machine."""
         machine.silent_s = report.silent_s
-        machine.up = True
-        if report.deaf:
+        machine.is_up = True
+        if report.responses_lost:
             # Its reports come, our answers do not arrive: nothing can be run there,
             # and what ran there ended with its lease, or ends with the return.
             self._give_up(machine, "does not hear us")
-        if report.lost != machine.lost:
-            machine.lost = report.lost
-            self._count_loss(machine, report.lost)
-        if report.lost and not cut_off:
+        if report.lease_expired != machine.lease_expired:
+            machine.lease_expired = report.lease_expired
+            self._count_loss(machine, report.lease_expired)
+        if report.lease_expired and not cut_off:
             self._check_silent(machine)
-        machine.sick = report.sick
-        if report.sick and not report.lost and not self.ctx.view.on_machine(machine.id):
+        machine.quarantined = report.quarantined
+        if (
+            report.quarantined
+            and not report.lease_expired
+            and not self.ctx.view.on_machine(machine.id)
+        ):
             # What already runs on a faulty machine may well run on: seen, a
             # replica of five minutes was ended by returning its machine.
             self._give_up(machine, "sick")
@@ -195,9 +199,9 @@
             return
         if ctx.owner(machine.id, machine.zone) not in current_owners:
             return
-        if machine.up:
+        if machine.is_up:
             self._give_up(machine, "not heard under this roster")
-        elif ctx.now - machine.hired_at > 2.0 * self._boot_s(machine) + 20.0:
+        elif ctx.now - machine.rented_at > 2.0 * self._boot_s(machine) + 20.0:
             self._give_up(machine, "never up")
 
     def _cut_off_zones(self, reports: dict[str, OwnerReport]) -> set[str]:
@@ -216,11 +220,11 @@
         for machine in self.machines.values():
             if machine.id in self.returning:
                 continue
-            if not (machine.up or machine.status == "running"):
+            if not (machine.is_up or machine.status == "running"):
                 continue
             up[machine.zone] = up.get(machine.zone, 0) + 1
             report = reports.get(machine.id)
-            if report is not None and not report.lost:
+            if report is not None and not report.lease_expired:
                 heard[machine.zone] = heard.get(machine.zone, 0) + 1
         return {z for z, n in up.items() if n >= PROBABLE_CUT and 2 * heard.get(z, 0) < n}
 
@@ -233,7 +237,7 @@
             return
         for name in ctx.view.occupied():
             report = reports.get(name)
-            if report is not None and not (report.lost and name not in self.machines):
+            if report is not None and not (report.lease_expired and name not in self.machines):
                 # Its owner hears it, or will prove its silence, or we return it. But of a
                 # lost machine that showed no token of this roster, silence proves nothing;
                 # and if it was returned under a former leader, nobody else asks for proof.
@@ -246,7 +250,7 @@
                 continue
             if not self.is_settled(name):
                 continue
-            if self.led_for(name) > self._longest_renewal():
+            if self.leading_duration_s(name) > self._longest_renewal():
                 # Longer than any former owner may have gone on renewing its lease.
                 self._tasks_are_gone(name)
             elif name not in self.returning and placed[0].zone not in cut_off:
@@ -276,13 +280,13 @@
 
     def _count_loss(self, machine: RentedMachine, lost: bool) -> None:
         """What is silent when a leader begins was lost, or returned, before its time."""
-        if lost and machine.up and self.ctx.now - self.ctx.token_since > NEW_LEADER_S:
-            losses = self.losses.setdefault(machine.pool, Losses(self.loss_window))
-            losses.lost(self.ctx.now)
+        if lost and machine.is_up and self.ctx.now - self.ctx.token_since > NEW_LEADER_S:
+            losses = self.loss_trackers.setdefault(machine.pool, LossTracker(self.loss_window_s))
+            losses.record_loss(self.ctx.now)
 
     def _lose(self, machine: RentedMachine) -> None:
         self.machines.pop(machine.id, None)
-        self._count_loss(machine, not machine.lost)
+        self._count_loss(machine, not machine.lease_expired)
         if self.ctx.view.on_machine(machine.id):
             self.returning.setdefault(machine.id, "lost, with tasks")
 
@@ -298,27 +302,27 @@
 
     # Time
 
-    def is_changing_hands(self, machine: RentedMachine) -> bool:
+    def is_recently_handed_over(self, machine: RentedMachine) -> bool:
         """Was it handed over so lately that its new owner may not have told us of it yet?"""
         handed_over_at = self.ctx.ownership.seen_at(machine.id)
-        return not machine.lost and self.ctx.now - handed_over_at < SETTLING_S
+        return not machine.lease_expired and self.ctx.now - handed_over_at < SETTLING_S
 
-    def is_late(self, machine: RentedMachine) -> bool:
+    def is_boot_overdue(self, machine: RentedMachine) -> bool:
         """Should it be up by now? Then nothing waits for it, and another is rented.
 
         Seen: one machine in sixteen took several times its boot time, and array tasks
         that counted on those waited for minutes beside a pool that seemed large enough.
         """
-        age = self.ctx.now - machine.hired_at
-        return not machine.up and age > LATE_BOOTS * self._boot_s(machine)
+        age = self.ctx.now - machine.rented_at
+        return not machine.is_up and age > LATE_BOOTS * self._boot_s(machine)
 
     def _boot_s(self, machine: RentedMachine) -> float:
-        kind = self.ctx.kind(machine.build)
+        kind = self.ctx.kind(machine.machine_type)
         return kind.boot if kind else DEFAULT_BOOT_S
 
     def _reports(self, machine: RentedMachine) -> bool:
         """True while the machine's owner hears from it."""
-        return machine.up and machine.silent_s < self.ctx.alive_within()
+        return machine.is_up and machine.silent_s < self.ctx.alive_within()
 
     def is_settled(self, machine: str = "") -> bool:
         """Have we led for so long that every worker that lives has shown our token?
@@ -326,9 +330,9 @@
         Of a machine: its own, which a handover has raised after the roster's.
         """
         lease = self.ctx.settings.params.workers.lease_s
-        return self.led_for(machine) > lease * DRIFT + SETTLING_S
+        return self.leading_duration_s(machine) > lease * DRIFT + SETTLING_S
 
-    def led_for(self, machine: str = "") -> float:
+    def leading_duration_s(self, machine: str = "") -> float:
         """For how long this node has led, under this roster and without a break.
 
         Of a machine: and since its last handover, which is a change of owner like a roster.
@@ -338,7 +342,7 @@
         in a hunt: a minute's outage after a new roster was taken for a minute's silence,
         and eight machines' tasks were started elsewhere while they ran.
         """
-        return self.ctx.now - max(self.ctx.token_of_since(machine), self.leads_since)
+        return self.ctx.now - max(self.ctx.token_of_since(machine), self.leading_since)
 
     def _longest_renewal(self) -> float:
         """For how long after a new roster a former owner may still have renewed leases."""
--- a/coursefold/coordination/leader.py
+++ b/coursefold/coordination/leader.py
@@ -13,7 +13,7 @@
 
 from coursefold.coordination import gangs, jobs, preemption
 from coursefold.coordination.context import Context
-from coursefold.coordination.demand import Runs
+from coursefold.coordination.demand import RunTimes
 from coursefold.coordination.ordering import LONG_S
 from coursefold.coordination.owner import Owner
 from coursefold.coordination.placement import Picker, Place, Refused, Room, fits_type
@@ -63,8 +63,8 @@
         self.booting: list[Place] = []
         self.blocked: set[Place] = set()
         self.logged_reasons: dict[JobId, str] = {}
-        self.runs = Runs()
-        self.waiting = WaitingQueue(ctx, lambda spec: self.runs.mean(spec, ctx.now))
+        self.runs = RunTimes()
+        self.waiting = WaitingQueue(ctx, lambda spec: self.runs.mean_run_s(spec, ctx.now))
         self.preemption = preemption.Preemption(ctx, self.waiting.urgency.rank)
         self.up: set[str] = set()
         self.flying: dict[JobId, set[int]] = {}
--- a/coursefold/coordination/pid.py
+++ b/coursefold/coordination/pid.py
@@ -11,17 +11,17 @@
     derivative: float = 0.0
 
 
-class Step(NamedTuple):
+class PidResult(NamedTuple):
     """The drive u_t in slots, and the state to keep."""
 
-    drive: float
+    output: float
     integral: float
     error: float
 
 
-def step(
+def compute_pid(
     error: float, last_error: float, integral: float, gains: Gains, *, hold: bool, clamp: float
-) -> Step:
+) -> PidResult:
     """u_t = Kp·e_t + Ki·Σe + Kd·(e_t - e_{t-1}).
 
     `hold` is the anti-windup: while rented machines boot, the error they will
@@ -39,4 +39,4 @@
         + gains.integral * integral
         + gains.derivative * (error - last_error)
     )
-    return Step(drive, integral, error)
+    return PidResult(drive, integral, error)
--- a/coursefold/coordination/queueing.py
+++ b/coursefold/coordination/queueing.py
@@ -33,25 +33,27 @@
     return blocked / (1 - rho + rho * blocked)
 
 
-class Queue(NamedTuple):
+class QueueMetrics(NamedTuple):
     """Expectations of an M/M/c queue."""
 
-    wait: float
-    length: float
+    mean_wait_s: float
+    mean_length: float
 
 
-def _expect(servers: int, load: float, rate: float, waiting: float) -> Queue:
+def _expect(servers: int, load: float, rate: float, waiting: float) -> QueueMetrics:
     rho = load / servers
-    return Queue(waiting / ((1 - rho) * servers * rate), waiting * rho / (1 - rho))
+    return QueueMetrics(waiting / ((1 - rho) * servers * rate), waiting * rho / (1 - rho))
 
 
-def expect(servers: int, arrivals: float, rate: float) -> Queue:
+def evaluate_queue(servers: int, arrivals: float, rate: float) -> QueueMetrics:
     """E[W] (paper's eq. 1) and E[L], for arrivals/rate < servers."""
     load = arrivals / rate
     return _expect(servers, load, rate, erlang_c(servers, load))
 
 
-def optimum(arrivals: float, rate: float, price: float, eta: float, batch: float = 1.0) -> int:
+def find_optimal_servers(
+    arrivals: float, rate: float, price: float, eta: float, batch: float = 1.0
+) -> int:
     """c* = argmin over c > λ/μ of η·E[W] + (1-η)·E[Cost]; the sum is convex in c.
 
     `batch` is by how much arrivals in lumps lengthen the wait: 1 for single tasks.
@@ -70,7 +72,9 @@
         if servers <= load:
             continue
         queue = _expect(servers, load, rate, _waiting(servers, load, blocked))
-        total = eta * batch * queue.wait + (1 - eta) * price * max(0.0, servers - queue.length)
+        total = eta * batch * queue.mean_wait_s + (1 - eta) * price * max(
+            0.0, servers - queue.mean_length
+        )
         if total >= best:
             return servers - 1
         best = total
--- a/coursefold/coordination/hires.py
+++ b/coursefold/coordination/rentals.py
@@ -9,7 +9,12 @@
 import msgspec
 from msgspec import Struct
 
-from coursefold.coordination.cloud import CloudClient, HireSubject, Verb, has_no_capacity
+from coursefold.coordination.cloud import (
+    CloudClient,
+    CloudOperation,
+    RentalRequest,
+    has_no_capacity,
+)
 from coursefold.coordination.context import Context
 from coursefold.coordination.demand import PoolId
 from coursefold.coordination.inventory import Inventory
@@ -29,13 +34,13 @@
 RECORD_RESERVE = 200  # bytes
 
 
-def pool_of(key: str) -> PoolId:
+def parse_pool_key(key: str) -> PoolId:
     """The pool that a record's name means."""
     build, _, kind = key.partition("/")
     return PoolId(build, kind == "spot")
 
 
-class HireBook:
+class RentalManager:
     """The rental requests of this leader and of those before it."""
 
     def __init__(self, ctx: Context, cloud: CloudClient, inventory: Inventory) -> None:
@@ -44,25 +49,25 @@
         self.inventory = inventory
         # Never set back: a hire's name is its token and this count, and the same
         # process may lead twice under one token.
-        self.count = 0
-        self.clear()
+        self.last_number = 0
+        self.reset()
 
-    def clear(self) -> None:
+    def reset(self) -> None:
         """Begin anew, as a new leader does."""
-        self.blocked: dict[Place, float] = {}
-        self.refusals: dict[Place, int] = {}
-        self.begin()
+        self.blocked_until: dict[Place, float] = {}
+        self.refusal_counts: dict[Place, int] = {}
+        self.begin_term()
 
-    def begin(self) -> None:
+    def begin_term(self) -> None:
         """A new fencing token: nothing was asked for or answered under it."""
-        self.asked: set[str] = set()
+        self.in_flight: set[str] = set()
         self.answered: set[str] = set()
 
     def is_blocked(self, place: Place) -> bool:
         """Was the cloud out of such machines a moment ago?"""
-        return self.blocked.get(place, 0.0) > self.ctx.now
+        return self.blocked_until.get(place, 0.0) > self.ctx.now
 
-    def is_writing(self, pool: PoolId) -> bool:
+    def has_pending_write(self, pool: PoolId) -> bool:
         """Is a change of the pool's record under way?"""
         return self.ctx.queue.busy(pool_key(str(pool)))
 
@@ -72,36 +77,36 @@
         while count > 0:
             part = min(count, MACHINES_PER_REQUEST)
             count -= part
-            self.count += 1
-            name = f"r-{ctx.view.token}-{self.count}"
+            self.last_number += 1
+            name = f"r-{ctx.view.token}-{self.last_number}"
             log.info("rent %d of %s in %s (%s)", part, pool, zone, name)
             self._write(pool, name, Hire(name, zone, pool.spot, part, ctx.wall))
 
-    def send(self, lists_read: int) -> None:
+    def send_pending(self, lists_read: int) -> None:
         """Send what is recorded and not answered; a name gets the same answer again."""
         ctx = self.ctx
         for key, record in list(ctx.view.pools.items()):
-            pool = pool_of(key)
+            pool = parse_pool_key(key)
             for hire in record.hires:
                 if hire.machines is None:
                     self._ask(pool, hire)
                 else:
                     self._use_answer(pool, hire, hire.machines, lists_read)
-        self.asked &= self.cloud.hires_under_way()
+        self.in_flight &= self.cloud.rentals_in_flight()
         self.answered &= {h.name for record in ctx.view.pools.values() for h in record.hires}
 
     def _ask(self, pool: PoolId, hire: Hire) -> None:
-        if hire.name in self.asked or hire.name in self.answered:
+        if hire.name in self.in_flight or hire.name in self.answered:
             return
         body = {
             "Hire": hire.name,
-            "Build": pool.build,
+            "Build": pool.machine_type,
             "Site": hire.zone,
             "Loaners": pool.spot,
             "Count": hire.count,
         }
-        if self.cloud.send(Verb.HIRE, body, HireSubject(pool, hire)):
-            self.asked.add(hire.name)
+        if self.cloud.send(CloudOperation.RENT, body, RentalRequest(pool, hire)):
+            self.in_flight.add(hire.name)
 
     def _use_answer(self, pool: PoolId, hire: Hire, machines: list[str], lists_read: int) -> None:
         """A recorded answer tells a new leader of machines that no list shows yet."""
@@ -112,10 +117,10 @@
         if age > ANSWER_KEPT_S:
             self._write(pool, hire.name, None)
 
-    def take_answer(self, subject: HireSubject, status: int, body: bytes) -> None:
+    def handle_response(self, subject: RentalRequest, status: int, body: bytes) -> None:
         """Note what the cloud answered to a rental request."""
         pool, hire = subject
-        self.asked.discard(hire.name)
+        self.in_flight.discard(hire.name)
         refused = status == 400 or has_no_capacity(status, body)
         if status == 200 or refused:
             self.answered.add(hire.name)  # asked no more, while that is being written
@@ -123,7 +128,7 @@
             self._take_machines(pool, hire, decode(body, Boxes).machines)
         elif refused:
             log.info("hire %s: refused (%d) in %s %s", hire.name, status, pool, hire.zone)
-            self._block(Place(pool.build, hire.zone, pool.spot))
+            self._block(Place(pool.machine_type, hire.zone, pool.spot))
             self._write(pool, hire.name, None)
 
     def _take_machines(self, pool: PoolId, hire: Hire, machines: list[str]) -> None:
@@ -133,19 +138,19 @@
             "hire %s: %d of %d in %s %s: %s",
             hire.name, len(machines), hire.count, pool, hire.zone, ",".join(machines),
         )  # fmt: skip
-        place = Place(pool.build, hire.zone, pool.spot)
+        place = Place(pool.machine_type, hire.zone, pool.spot)
         if len(machines) < hire.count:
             self._block(place)
         else:
-            self.refusals.pop(place, None)
+            self.refusal_counts.pop(place, None)
         self._write(pool, hire.name, msgspec.structs.replace(hire, machines=machines))
 
     def _block(self, place: Place) -> None:
         """No capacity: ask elsewhere for a while."""
-        times = self.refusals.get(place, 0)
-        self.refusals[place] = times + 1
+        times = self.refusal_counts.get(place, 0)
+        self.refusal_counts[place] = times + 1
         pause = REFUSED_PAUSE_S * min(LONGEST_REFUSED_PAUSES, 1 + times)
-        self.blocked[place] = self.ctx.now + pause
+        self.blocked_until[place] = self.ctx.now + pause
 
     def _write(self, pool: PoolId, name: str, hire: Hire | None) -> None:
         """Write a request's new state into its pool's record; None removes it."""
--- a/coursefold/shares/port.py
+++ b/coursefold/shares/port.py
@@ -75,7 +75,10 @@
     def is_settled(self) -> bool:
         """Have we led for so long that all machines that are heard have been counted?"""
         inventory = self.core.fleet.inventory
-        return self.core.fleet.lists_read > 0 and inventory.led_for() > self.ctx.alive_within()
+        return (
+            self.core.fleet.lists_read > 0
+            and inventory.leading_duration_s() > self.ctx.alive_within()
+        )
 
     def incarnation(self, member: str) -> int:
         """The lease of a member's process; 0 if it is not in the roster."""
@@ -104,7 +107,7 @@
         inventory = self.core.fleet.inventory
         found = []
         for name, rented in sorted(inventory.machines.items()):
-            if not rented.up or rented.lost or name in inventory.returning:
+            if not rented.is_up or rented.lease_expired or name in inventory.returning:
                 continue
             owner = ctx.owner(name, rented.zone) or ""
             row = self._row(name, owner)
@@ -114,7 +117,7 @@
             tasks = self._ending_tasks(name)
             shown = row is not None
             found.append(
-                MachineState(name, rented.build, rented.zone, owner, tasks, shown, obstacle)
+                MachineState(name, rented.machine_type, rented.zone, owner, tasks, shown, obstacle)
             )
         return found
 
@@ -132,7 +135,7 @@
         """Is the machine lost, being returned, or gone from the inventory?"""
         inventory = self.core.fleet.inventory
         rented = inventory.machines.get(machine)
-        return rented is None or rented.lost or machine in inventory.returning
+        return rented is None or rented.lease_expired or machine in inventory.returning
 
     def is_gone(self, machine: str) -> bool:
         """Is the machine gone for good, as far as lists and records say?"""
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -11,7 +11,7 @@
 from coursefold.coordination.gangs import Floor
 from coursefold.coordination.ordering import LONG_S, Ordering
 from coursefold.coordination.placement import Market, Picker, Place, Room
-from coursefold.coordination.queueing import optimum
+from coursefold.coordination.queueing import find_optimal_servers
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Catalog, Job, decode, encode
 from coursefold.storage import codec, records
@@ -75,11 +75,11 @@
 
 def test_a_pool_grows_for_a_gang_that_its_free_halves_do_not_help() -> None:
     demand = PoolDemand(SMALL, False, 60.0)
-    demand.machines, demand.busy = 20, 20.0  # every machine half full
-    demand.gang = 8.0
-    assert demand.target(0.0005) <= 40
-    demand.apart = 8.0
-    assert demand.target(0.0005) == 48
+    demand.machine_count, demand.busy_slots = 20, 20.0  # every machine half full
+    demand.gang_slots = 8.0
+    assert demand.target_slots(0.0005) <= 40
+    demand.zone_bound_slots = 8.0
+    assert demand.target_slots(0.0005) == 48
 
 
 def test_what_is_placed_is_not_placed_again() -> None:
@@ -109,8 +109,8 @@
 
 
 def test_arrivals_in_lumps_make_a_larger_pool() -> None:
-    single = optimum(0.5, 1 / 60, 0.0007, 0.0005)
-    assert optimum(0.5, 1 / 60, 0.0007, 0.0005, batch=20.0) > single
+    single = find_optimal_servers(0.5, 1 / 60, 0.0007, 0.0005)
+    assert find_optimal_servers(0.5, 1 / 60, 0.0007, 0.0005, batch=20.0) > single
 
 
 def test_replicas_wait_for_the_first_machines_of_their_type() -> None:
@@ -139,7 +139,7 @@
     refused = iter([True, False])
     asked: list[str | None] = []
     before = fleet.lists_read
-    fleet.list_at = -1e9
+    fleet.list_requested_at = -1e9
     for _ in range(16):
         world.now += 0.25
         world.enter()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,7 +4,7 @@
 
 from coursefold.coordination import cancellations
 from coursefold.coordination.context import Context, Machine
-from coursefold.coordination.queueing import optimum
+from coursefold.coordination.queueing import find_optimal_servers
 from coursefold.coordination.summary import REASONS, Rows, Teller, read, take
 from coursefold.policy.language import parse
 from coursefold.protocol.ids import JobId, Moment
@@ -142,8 +142,10 @@
 def test_the_optimum_of_a_pool_of_32000_slots_lies_above_its_load() -> None:
     """Once, the search ended at 20,000 slots, fewer than 4,000 machines of eight have."""
     load = 30_000.0
-    assert load < optimum(load / 60.0, 1 / 60.0, 0.0007, 0.0005) < 1.1 * load
-    assert optimum(load / 60.0, 1 / 60.0, 0.0, 0.0005) < 2 * load + 2000  # free slots: it ends
+    assert load < find_optimal_servers(load / 60.0, 1 / 60.0, 0.0007, 0.0005) < 1.1 * load
+    assert (
+        find_optimal_servers(load / 60.0, 1 / 60.0, 0.0, 0.0005) < 2 * load + 2000
+    )  # free slots: it ends
 
 
 def test_copies_of_machines_that_left_are_known_for_thousands() -> None:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -7,7 +7,7 @@
 
 from coursefold.coordination import core, requests, summary
 from coursefold.coordination import jobs as edits
-from coursefold.coordination.demand import Need, Planner, PoolId, Runs
+from coursefold.coordination.demand import DemandPlanner, PoolId, RunTimes, UnplacedTasks
 from coursefold.coordination.placement import Market, Picker, Refused, Room
 from coursefold.coordination.requests import Purpose, Question
 from coursefold.protocol.ids import JobId, Moment, WallTime
@@ -174,7 +174,7 @@
     node = world.core
     assert JobId("job-2") not in node.view.waiting
     assert node.view.jobs[JobId("job-2")].entries == []
-    arrivals = node.fleet.pools.arrivals
+    arrivals = node.fleet.pool_control.recent_arrivals
     assert "job-2" not in arrivals
     assert "job-1" in arrivals
     assert sum(h.count for pool in hires.values() for h in pool.hires) == before
@@ -456,13 +456,13 @@
 
 
 def test_small_work_neither_sizes_a_fleet_nor_keeps_it() -> None:
-    planner = Planner(Catalog([KIND]), Runs(), 0.0, {}, {}, 60.0, Market([KIND], [BUSY]))
-    planner.arrived(SMALL, 100)
-    planner.running(SMALL, PoolId("g2", False))
+    planner = DemandPlanner(Catalog([KIND]), RunTimes(), 0.0, {}, {}, 60.0, Market([KIND], [BUSY]))
+    planner.count_arrival(SMALL, 100)
+    planner.count_running(SMALL, PoolId("g2", False))
     demand = planner.pools[PoolId("g2", False)]
-    assert (demand.arrivals, demand.busy, demand.target(0.0005)) == (0.0, 0.0, 0.0)
-    planner.pack([Need(SMALL, 64, {})], [])
-    assert demand.target(0.0005) > 0  # but what finds no room at all asks for some
+    assert (demand.arrived_slots, demand.busy_slots, demand.target_slots(0.0005)) == (0.0, 0.0, 0.0)
+    planner.pack_waiting([UnplacedTasks(SMALL, 64, {})], [])
+    assert demand.target_slots(0.0005) > 0  # but what finds no room at all asks for some
 
 
 BUSY = decode(encode(JOB | {"NameId": "job-9"}), Job)
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from coursefold.coordination.queueing import erlang_c, expect, optimum
+from coursefold.coordination.queueing import erlang_c, evaluate_queue, find_optimal_servers
 
 
 def closed_form(servers: int, load: Fraction) -> Fraction:
@@ -28,9 +28,9 @@
     assert erlang_c(1, 0.7) == pytest.approx(0.7)
     assert erlang_c(2, 1.0) == pytest.approx(1 / 3)
     # M/M/1 with λ=0.5, μ=1: E[W] = 1, E[L] = 0.5.
-    queue = expect(1, 0.5, 1.0)
-    assert queue.wait == pytest.approx(1.0)
-    assert queue.length == pytest.approx(0.5)
+    queue = evaluate_queue(1, 0.5, 1.0)
+    assert queue.mean_wait_s == pytest.approx(1.0)
+    assert queue.mean_length == pytest.approx(0.5)
 
 
 def test_a_large_fleet_does_not_overflow() -> None:
@@ -43,13 +43,13 @@
     arrivals, rate, price, eta = 0.2, 1 / 60, 0.0007, 0.0005
 
     def total(c: int) -> float:
-        queue = expect(c, arrivals, rate)
-        return eta * queue.wait + (1 - eta) * price * max(0.0, c - queue.length)
+        queue = evaluate_queue(c, arrivals, rate)
+        return eta * queue.mean_wait_s + (1 - eta) * price * max(0.0, c - queue.mean_length)
 
-    assert optimum(arrivals, rate, price, eta) == min(range(13, 200), key=total)
+    assert find_optimal_servers(arrivals, rate, price, eta) == min(range(13, 200), key=total)
 
 
 def test_dearer_slots_make_a_smaller_pool() -> None:
-    sizes = [optimum(0.3, 1 / 90, price, 0.0005) for price in (0.0001, 0.001, 0.01)]
+    sizes = [find_optimal_servers(0.3, 1 / 90, price, 0.0005) for price in (0.0001, 0.001, 0.01)]
     assert sizes == sorted(sizes, reverse=True)
     assert sizes[0] > sizes[-1] > 0.3 * 90
--- a/tests/test_shares_guards.py
+++ b/tests/test_shares_guards.py
@@ -250,7 +250,7 @@
 
 def counted(world: Pair) -> tuple[bool, bool]:
     """Does the sizing loop count the machine's room, and as one that is to go?"""
-    rooms = {room.id: room for room in world.core.fleet.pools.all_rooms()}
+    rooms = {room.id: room for room in world.core.fleet.pool_control.current_and_booting_capacity()}
     return MACHINE in rooms, MACHINE in rooms and rooms[MACHINE].draining
 
 
