--- a/coursefold/cells/estimate.py
+++ b/coursefold/cells/estimate.py
@@ -10,7 +10,7 @@
 
 from coursefold.cells.messages import PoolState
 from coursefold.coordination.demand import PoolDemand, weight
-from coursefold.coordination.placement import fits_type
+from coursefold.coordination.placement import fits_machine_type
 from coursefold.coordination.queueing import expect
 from coursefold.protocol.wire import Job
 
@@ -50,7 +50,7 @@
 
 def may_use(spec: Job, pool: PoolState) -> bool:
     """May the job's tasks run in the pool?"""
-    if not fits_type(spec, pool.kind) or (pool.spot and not spec.spot):
+    if not fits_machine_type(spec, pool.kind) or (pool.spot and not spec.spot):
         return False
     return not spec.apart or len(pool.kind.zones) >= ZONES_APART
 
--- a/coursefold/cells/home.py
+++ b/coursefold/cells/home.py
@@ -286,9 +286,13 @@
         found: list[Candidate] = []
         for wait in waiting:
             spec = wait.job.spec
-            if wait.name in placed or not self._may_go(wait) or not quota.fits(spec, wait.tasks):
+            if (
+                wait.name in placed
+                or not self._may_go(wait)
+                or not quota.fits_limit(spec, wait.tasks)
+            ):
                 continue
-            quota.take(spec, wait.tasks)
+            quota.add_usage(spec, wait.tasks)
             best = pools.best(spec, 1)
             price = pools.states[best.pool].price if best else 0.0
             due = None
--- a/coursefold/cells/port.py
+++ b/coursefold/cells/port.py
@@ -6,8 +6,8 @@
 from coursefold.cells.estimate import Pools, pool_state
 from coursefold.cells.messages import PoolState
 from coursefold.coordination.core import Core
-from coursefold.coordination.placement import Place
-from coursefold.coordination.quota import Quota, limit_fits
+from coursefold.coordination.placement import MachineOffering
+from coursefold.coordination.quota import QuotaTracker, fits_team_limit
 from coursefold.protocol.ids import JobId, Moment
 from coursefold.protocol.wire import Job
 from coursefold.storage import records
@@ -50,22 +50,22 @@
         """May this controller decide for its cell, in the forms that cells need?"""
         return self.ctx.leading() and self.view.level >= records.WITH_CELLS
 
-    def quota(self) -> Quota:
+    def quota(self) -> QuotaTracker:
         """The teams' limits and what is used of them now."""
-        return Quota(self.ctx.settings.params.teams, self.view.usage)
+        return QuotaTracker(self.ctx.settings.params.teams, self.view.usage)
 
     def team_has_room(self, spec: Job, tasks: int) -> str:
         """Why this cell would not run a job of the team; empty if it would."""
         team = next((t for t in self.ctx.settings.params.teams if t.name == spec.team), None)
         if team is None:
             return f"team {spec.team} is not known here"
-        if not limit_fits(team, spec, tasks if spec.shape == "ensemble" else 1):
+        if not fits_team_limit(team, spec, tasks if spec.shape == "ensemble" else 1):
             return f"the job needs more than the limit of team {spec.team} here"
         return ""
 
     def run_s(self, spec: Job) -> float:
         """Mean run time of a task of the job's class, as far as is known."""
-        return self.core.leader.runs.mean(spec, self.ctx.now)
+        return self.core.leader.run_times.mean(spec, self.ctx.now)
 
     def eta(self) -> float:
         """The weight of wait against cost."""
@@ -82,20 +82,20 @@
         """Spread what waits over the pools in queue order: each job behind those before it."""
         pools = Pools(self._pool_states())
         waiting: list[WaitingJob] = []
-        for wait in self.core.leader.queue(self.quota()):
+        for wait in self.core.leader.list_queued_jobs(self.quota()):
             tasks = wait.job.waiting_count
             expected = pools.best(wait.job.spec, tasks)
             if expected is None:
                 continue
             pools.take(expected.pool, wait.job.spec, tasks)
-            waiting.append(WaitingJob(wait.name, wait.job, tasks, wait.age, expected.wait))
+            waiting.append(WaitingJob(wait.name, wait.job, tasks, wait.age_s, expected.wait))
         demands = self.core.fleet.pools.demands.values()
         return Queue(waiting, pools, [float(d.machines * d.k) for d in demands])
 
     def _pool_states(self) -> Iterable[PoolState]:
         fleet = self.core.fleet
         for pool, demand in fleet.pools.demands.items():
-            places = (Place(pool.build, zone, pool.spot) for zone in demand.kind.zones)
+            places = (MachineOffering(pool.build, zone, pool.spot) for zone in demand.kind.zones)
             # Not those that are blocked just now: a place that refused is asked again and
             # again, and counts as full until the cloud has filled a whole request there.
             grows = any(place not in fleet.hires.refusals for place in places)
--- a/coursefold/coordination/context.py
+++ b/coursefold/coordination/context.py
@@ -4,7 +4,7 @@
 from coursefold.coordination.grants import GrantClock
 from coursefold.coordination.ownership import OwnershipTable
 from coursefold.coordination.parts import owner
-from coursefold.coordination.placement import Market, Room
+from coursefold.coordination.placement import MachineCapacity, PriceIndex
 from coursefold.policy import Policy
 from coursefold.protocol.ids import JobId, Member, Moment, WallTime
 from coursefold.protocol.wire import Catalog, Job, MachineType, TaskReport
@@ -134,7 +134,7 @@
         self._owners_at = -1
         self._kinds: dict[str, MachineType] = {}
         self._kinds_of: Catalog | None = None
-        self._market = Market()
+        self._market = PriceIndex()
         self._market_at = -1e9
 
     @property
@@ -224,20 +224,20 @@
             self._kinds = {t.name: t for t in catalog.builds} if catalog else {}
         return self._kinds.get(build)
 
-    def market(self) -> Market:
+    def market(self) -> PriceIndex:
         """By one job of each class; looked at anew now and then."""
         catalog = self.view.catalog
         if catalog is not None and self.now - self._market_at > MARKET_S:
             lanes = {job.spec.lane: job.spec for job in self.view.jobs.values()}
-            self._market, self._market_at = Market(catalog.builds, lanes.values()), self.now
+            self._market, self._market_at = PriceIndex(catalog.builds, lanes.values()), self.now
         return self._market
 
-    def room(self, id: str) -> Room | None:
+    def room(self, id: str) -> MachineCapacity | None:
         """One machine of our part, if it can take tasks."""
         m = self.machines.get(id)
         return self._room(m) if m is not None else None
 
-    def _room(self, m: Machine) -> Room | None:
+    def _room(self, m: Machine) -> MachineCapacity | None:
         kind = self.kind(m.build)
         if (
             kind is None
@@ -250,15 +250,19 @@
             or not self.owns(m.id, m.zone)
         ):
             return None
-        room = Room(m.id, kind, m.zone, m.spot, self.me, m.session, self.view.load(m.id), m.images)
-        room.draining = m.recall_at is not None or self.ownership.is_draining(m.id, self.wall)
-        room.lent = m.lent_until > self.now
+        room = MachineCapacity(
+            m.id, kind, m.zone, m.spot, self.me, m.session, self.view.load(m.id), m.images
+        )
+        room.is_unschedulable = m.recall_at is not None or self.ownership.is_draining(
+            m.id, self.wall
+        )
+        room.reserved_for_gang = m.lent_until > self.now
         room.idle_since = m.idle_since
         return room
 
-    def rooms(self, mine_only: bool = False) -> list[Room]:
+    def rooms(self, mine_only: bool = False) -> list[MachineCapacity]:
         """Machines that can take tasks, with what is free after all entries and plans."""
-        rooms: dict[str, Room] = {}
+        rooms: dict[str, MachineCapacity] = {}
         for m in self.machines.values():
             room = self._room(m)
             if room is not None:
@@ -272,12 +276,12 @@
                 if entry.machine == machine:
                     continue
                 if (was := rooms.get(entry.machine)) is not None:
-                    was.give(spec)
+                    was.release(spec)
             if (found := rooms.get(machine)) is not None:
-                found.take(spec)
+                found.reserve(spec)
         return list(rooms.values())
 
-    def _peer_rooms(self, rooms: dict[str, Room]) -> None:
+    def _peer_rooms(self, rooms: dict[str, MachineCapacity]) -> None:
         roster = self.view.roster
         if roster is None:
             return
@@ -293,10 +297,10 @@
                 kind = kind_of(pm.build)
                 if kind is None or owner(pm.id, pm.zone) != member:
                     continue
-                room = Room(
+                room = MachineCapacity(
                     pm.id, kind, pm.zone, pm.spot, member, pm.session, load(pm.id), pm.images
                 )
-                room.draining = pm.draining or self.ownership.is_draining(pm.id, self.wall)
-                room.lent = pm.lent
+                room.is_unschedulable = pm.draining or self.ownership.is_draining(pm.id, self.wall)
+                room.reserved_for_gang = pm.lent
                 room.idle_since = pm.idle_since
                 rooms[pm.id] = room
--- a/coursefold/coordination/core.py
+++ b/coursefold/coordination/core.py
@@ -66,7 +66,7 @@
         self.leader = Leader(self.ctx, self.owner)
         self.fleet = Fleet(self.ctx, self.leader)
         self.extensions: list[Extension] = []
-        self.requests = Requests(self.ctx, lambda: self.leader.reasons)
+        self.requests = Requests(self.ctx, lambda: self.leader.waiting_reasons)
         self.was_leading = False
 
     def at(self, now: Moment, wall: WallTime) -> None:
@@ -139,7 +139,9 @@
     def frame(self, member: str) -> bytes:
         """The next frame for a sibling; empty if there is nothing to say."""
         return self.tellers[member].frame(
-            set(self.leader.wanted), self.election.unreachable_for_workers(), self.leader.reasons
+            set(self.leader.requested_machines),
+            self.election.unreachable_for_workers(),
+            self.leader.waiting_reasons,
         )
 
     def peer(self, frame: bytes) -> bool:
--- a/coursefold/coordination/demand.py
+++ b/coursefold/coordination/demand.py
@@ -11,14 +11,14 @@
 
 from coursefold.coordination import gangs
 from coursefold.coordination.placement import (
-    NO_MARKET,
-    Market,
-    Picker,
-    Place,
-    Refused,
-    Room,
-    fits_type,
-    share,
+    EMPTY_PRICE_INDEX,
+    FailedSearches,
+    MachineCapacity,
+    MachineOffering,
+    PlacementSearch,
+    PriceIndex,
+    compute_machine_share,
+    fits_machine_type,
 )
 from coursefold.coordination.queueing import optimum
 from coursefold.protocol.wire import Catalog, Job, MachineType
@@ -47,7 +47,7 @@
 
 def weight(spec: Job, kind: MachineType) -> float:
     """Slots that a task takes."""
-    return share(spec, kind) * slots(kind)
+    return compute_machine_share(spec, kind) * slots(kind)
 
 
 class Runs:
@@ -157,7 +157,7 @@
     fetch = spec.image_gb / kind.fetch if kind.fetch else 0.0
     lost = loss * (min(spec.checkpoint, run) if spec.checkpoint else run)
     overhead = 1.0 + (fetch + 0.3 * kind.boot) / max(run, 10.0) + lost
-    return hourly * share(spec, kind) * overhead
+    return hourly * compute_machine_share(spec, kind) * overhead
 
 
 class Planner:
@@ -168,13 +168,13 @@
         catalog: Catalog,
         runs: Runs,
         now: float,
-        blocked: dict[Place, float],
+        blocked: dict[MachineOffering, float],
         losses: dict[PoolId, float],
         window: float,
-        market: Market = NO_MARKET,
+        market: PriceIndex = EMPTY_PRICE_INDEX,
     ) -> None:
         self.window, self.market = window, market
-        self.refused = Refused()
+        self.refused = FailedSearches()
         self.catalog, self.runs, self.now = catalog, runs, now
         self.blocked, self.losses = blocked, losses
         self.pools = {
@@ -189,24 +189,28 @@
         It fills what they leave over, so it neither counts as use of the machine nor asks
         for more of them, but for what finds no room at all.
         """
-        return not spec.gpus and kind.gpus > 0 and bool(self.market.accelerated)
+        return not spec.gpus and kind.gpus > 0 and bool(self.market.accelerator_jobs)
 
     def choices(self, spec: Job) -> list[PoolId]:
         """Pools that the job allows, cheapest first."""
         run = self.runs.mean(spec, self.now) if spec.shape != "standing" else 600.0
         found = []
         for pool, demand in self.pools.items():
-            if fits_type(spec, demand.kind) and (spec.spot or not pool.spot):
+            if fits_machine_type(spec, demand.kind) and (spec.spot or not pool.spot):
                 loss = self.losses.get(pool, 0.0)
                 price = effective_price(spec, demand.kind, pool.spot, run, loss)
-                found.append((price + self.market.displaced(spec, demand.kind), pool))
+                found.append(
+                    (price + self.market.estimate_displacement_cost(spec, demand.kind), pool)
+                )
         return [pool for _, pool in sorted(found)]
 
     def open_zones(self, pool: PoolId, spec: Job) -> list[str]:
         """Zones where the pool could still grow for this job."""
         zones = self.pools[pool].kind.zones if spec.zone is None else [spec.zone]
         return [
-            z for z in zones if self.blocked.get(Place(pool.build, z, pool.spot), 0.0) <= self.now
+            z
+            for z in zones
+            if self.blocked.get(MachineOffering(pool.build, z, pool.spot), 0.0) <= self.now
         ]
 
     def arrived(self, spec: Job, tasks: int) -> None:
@@ -245,9 +249,9 @@
             demand.batch += w
             demand.batch_work += w * self.runs.mean(spec, self.now)
 
-    def pack(self, needs: Iterable[Need], rooms: list[Room]) -> None:
+    def pack(self, needs: Iterable[Need], rooms: list[MachineCapacity]) -> None:
         """Waiting tasks take the free and the booting room first; the rest asks for more."""
-        floor = gangs.Floor(r for r in rooms if not r.lent)
+        floor = gangs.GangCandidates(r for r in rooms if not r.reserved_for_gang)
         for need in needs:
             spec = need.spec
             if spec.shape == "ensemble" and need.tasks > 1:
@@ -257,10 +261,10 @@
             picker = (
                 None
                 if self.refused.covers(spec)
-                else Picker(spec, rooms, zones, market=self.market)
+                else PlacementSearch(spec, rooms, zones, price_index=self.market)
             )
             for done in range(need.tasks):
-                room = picker.take() if picker else None
+                room = picker.reserve_best() if picker else None
                 if room is None:
                     if not (spec.apart or spec.together):
                         self.refused.add(spec)
@@ -269,7 +273,7 @@
                     if left > 0:
                         self._grow(need, left, zones)
                     break
-                self._queue(spec, PoolId(room.kind.name, room.spot))
+                self._queue(spec, PoolId(room.type_info.name, room.spot))
 
     def _relieved(self, need: Need, tasks: int) -> int:
         """Waiting tasks that busy slots will have room for in time anyway.
@@ -302,20 +306,20 @@
         if spec.shape == "standing":
             demand.service += w
 
-    def _pack_gang(self, need: Need, floor: gangs.Floor) -> None:
-        rooms = floor.holding(need.spec)
-        plan = gangs.fill(need.spec, rooms, self.market)
+    def _pack_gang(self, need: Need, floor: gangs.GangCandidates) -> None:
+        rooms = floor.find_fitting(need.spec)
+        plan = gangs.find_gang_placement(need.spec, rooms, self.market)
         if plan is not None:
             for room in plan:
-                room.take(need.spec)
-                self._queue(need.spec, PoolId(room.kind.name, room.spot))
+                room.reserve(need.spec)
+                self._queue(need.spec, PoolId(room.type_info.name, room.spot))
             return
         for pool in self.choices(need.spec):
             open_zones = self.open_zones(pool, need.spec)
             if not open_zones:
                 continue
             have = {
-                z: sum(1 for r in rooms if r.zone == z and (r.kind.name, r.spot) == pool)
+                z: sum(1 for r in rooms if r.zone == z and (r.type_info.name, r.spot) == pool)
                 for z in open_zones
             }
             zone = max(open_zones, key=lambda z: (have[z], z))
@@ -327,8 +331,8 @@
                 if not kept:
                     break
                 if room.zone == zone:
-                    room.take(need.spec)
-                    self._queue(need.spec, PoolId(room.kind.name, room.spot))
+                    room.reserve(need.spec)
+                    self._queue(need.spec, PoolId(room.type_info.name, room.spot))
                     kept -= 1
             short = need.tasks - min(have[zone], need.tasks)
             demand.gang += short * w
--- a/coursefold/coordination/fleet.py
+++ b/coursefold/coordination/fleet.py
@@ -24,7 +24,7 @@
 from coursefold.coordination.hires import HireBook
 from coursefold.coordination.inventory import SPARE, Inventory
 from coursefold.coordination.leader import Leader
-from coursefold.coordination.placement import Place
+from coursefold.coordination.placement import MachineOffering
 from coursefold.coordination.pools import LONGEST_PERIOD_S, PoolControl
 from coursefold.protocol.wire import Catalog, Listed, MachineList, MalformedError, decode
 from coursefold.storage import records
@@ -145,7 +145,9 @@
             return
         if ctx.now - self.watch_at >= WATCH_EVERY_S:
             self._watch()
-        self.leader.blocked = {p for p, until in self.hires.blocked.items() if until > ctx.now}
+        self.leader.blocked_offerings = {
+            p for p, until in self.hires.blocked.items() if until > ctx.now
+        }
         self.hires.send(self.lists_read)
         self._send_returns()
         if ctx.now - self.plan_at >= self.parameters.period and self.lists_read > 0:
@@ -165,8 +167,8 @@
     def _watch(self) -> None:
         self.watch_at = self.ctx.now
         self.inventory.watch()
-        self.leader.booting = [
-            Place(machine.build, machine.zone, machine.spot)
+        self.leader.booting_offerings = [
+            MachineOffering(machine.build, machine.zone, machine.spot)
             for machine in self.inventory.machines.values()
             if not machine.up and machine.id not in self.inventory.returning
         ]
@@ -209,13 +211,13 @@
         ctx = self.ctx
         if ctx.view.on_machine(machine) or any(m == machine for m, _ in ctx.pending.values()):
             self.inventory.returning.pop(machine, None)
-            self.leader.wanted.pop(machine, None)
+            self.leader.requested_machines.pop(machine, None)
             return False
         own = ctx.machines.get(machine)
         if own is not None:
             own.lent_until = ctx.now + LENT_FOR_RETURN_S
             return True
-        self.leader.wanted[machine] = ctx.now + LENT_FOR_RETURN_S
+        self.leader.requested_machines[machine] = ctx.now + LENT_FOR_RETURN_S
         return any(
             ctx.now - peer.at < FRESH_SUMMARY_S
             and machine in peer.machines
--- a/coursefold/coordination/gangs.py
+++ b/coursefold/coordination/gangs.py
@@ -4,19 +4,22 @@
 from math import inf
 
 from coursefold.coordination.placement import (
-    NO_MARKET,
-    Market,
-    Room,
+    EMPTY_PRICE_INDEX,
+    MachineCapacity,
+    PriceIndex,
     Weigher,
-    allowed,
+    may_run_on,
     zone_limit,
 )
 from coursefold.protocol.wire import Job
 
 
-def fill(
-    spec: Job, rooms: list[Room], market: Market = NO_MARKET, slack: float = inf
-) -> list[Room] | None:
+def find_gang_placement(
+    spec: Job,
+    rooms: list[MachineCapacity],
+    market: PriceIndex = EMPTY_PRICE_INDEX,
+    slack: float = inf,
+) -> list[MachineCapacity] | None:
     """Rooms for all tasks, one for each (a room may serve several), or None.
 
     With `Together` each zone is tried; the plan whose worst place is best wins, for
@@ -25,16 +28,16 @@
     usable = [
         r
         for r in rooms
-        if r.holds(spec)
-        and not r.draining
-        and allowed(spec, r)
-        and not (r.kept and market.fences(spec, r))
+        if r.fits_task(spec)
+        and not r.is_unschedulable
+        and may_run_on(spec, r)
+        and not (r.has_protected_accelerators and market.blocks_accelerators(spec, r))
     ]
     zones = sorted({r.zone for r in usable}) if spec.together else [""]
     weigh = Weigher(spec, market, slack)
     costs = {r.id: weigh(r) for r in usable}
     ranked = sorted(usable, key=lambda r: costs[r.id])
-    best: tuple[float, list[Room]] | None = None
+    best: tuple[float, list[MachineCapacity]] | None = None
     for zone in zones:
         plan = _fill([r for r in ranked if not zone or r.zone == zone], spec)
         if plan is not None:
@@ -44,28 +47,28 @@
     return best[1] if best else None
 
 
-def _fill(ranked: list[Room], spec: Job) -> list[Room] | None:
+def _fill(ranked: list[MachineCapacity], spec: Job) -> list[MachineCapacity] | None:
     limit = zone_limit(spec)
     by_zone: dict[str, int] = {}
-    plan: list[Room] = []
+    plan: list[MachineCapacity] = []
     before: dict[str, dict[str, float]] = {}
     for room in ranked:
-        while len(plan) < spec.tasks and room.holds(spec):
+        while len(plan) < spec.tasks and room.fits_task(spec):
             if limit is not None and by_zone.get(room.zone, 0) >= limit:
                 break
-            before.setdefault(room.id, room.fetching)
-            room.take(spec)
+            before.setdefault(room.id, room.task_images_gb)
+            room.reserve(spec)
             plan.append(room)
             by_zone[room.zone] = by_zone.get(room.zone, 0) + 1
         if len(plan) == spec.tasks:
             break
     for room in plan:
-        room.give(spec)
-        room.fetching = before[room.id]
+        room.release(spec)
+        room.task_images_gb = before[room.id]
     return plan if len(plan) == spec.tasks else None
 
 
-class Floor:
+class GangCandidates:
     """The machines of one round, as gangs look at them.
 
     A gang that does not fit is looked at in every round. Walking and sorting the whole
@@ -73,36 +76,38 @@
     gangs, so what several gangs have in common is found once.
     """
 
-    def __init__(self, rooms: Iterable[Room]) -> None:
-        self.rooms = list(rooms)
-        self._usable: dict[tuple[object, ...], list[Room]] = {}
-        self._holding: dict[tuple[object, ...], list[Room]] = {}
-        self._emptiest: dict[tuple[object, ...], dict[str, list[Room]]] = {}
+    def __init__(self, rooms: Iterable[MachineCapacity]) -> None:
+        self.machines = list(rooms)
+        self._usable: dict[tuple[object, ...], list[MachineCapacity]] = {}
+        self._holding: dict[tuple[object, ...], list[MachineCapacity]] = {}
+        self._emptiest: dict[tuple[object, ...], dict[str, list[MachineCapacity]]] = {}
         self._places: dict[tuple[object, ...], int] = {}
 
     @staticmethod
     def _kind(spec: Job) -> tuple[object, ...]:
         return (None if spec.builds is None else tuple(spec.builds), spec.zone, spec.spot)
 
-    def usable(self, spec: Job) -> list[Room]:
+    def find_usable(self, spec: Job) -> list[MachineCapacity]:
         """Rooms that the job allows and that are not kept for another."""
         kind = self._kind(spec)
         found = self._usable.get(kind)
         if found is None:
-            found = [r for r in self.rooms if allowed(spec, r)]
-        found = self._usable[kind] = [r for r in found if not r.draining]
+            found = [r for r in self.machines if may_run_on(spec, r)]
+        found = self._usable[kind] = [r for r in found if not r.is_unschedulable]
         return found
 
-    def holding(self, spec: Job) -> list[Room]:
+    def find_fitting(self, spec: Job) -> list[MachineCapacity]:
         """Usable rooms with place for one task; in a round rooms only become fuller."""
         key = (*self._kind(spec), spec.cpus, spec.gpus, spec.memory)
         found = self._holding.get(key)
         if found is None:
-            found = self.usable(spec)
-        found = self._holding[key] = [r for r in found if r.holds(spec) and not r.draining]
+            found = self.find_usable(spec)
+        found = self._holding[key] = [
+            r for r in found if r.fits_task(spec) and not r.is_unschedulable
+        ]
         return found
 
-    def possible(self, spec: Job) -> bool:
+    def may_fit_eventually(self, spec: Job) -> bool:
         """Would the gang fit, alone, if all had ended that ends by itself?
 
         Seen in the tests' own world: replicas held a part of each machine, the cloud had no
@@ -113,14 +118,16 @@
         most = self._places.get(key)
         if most is None:
             by_zone: dict[str, int] = {}
-            for room in self.rooms:
-                if allowed(spec, room) and not (room.draining and not room.reserved):
+            for room in self.machines:
+                if may_run_on(spec, room) and not (
+                    room.is_unschedulable and not room.earmarked_for_gang
+                ):
                     zone = room.zone if spec.together else ""
-                    by_zone[zone] = by_zone.get(zone, 0) + room.places(spec)
+                    by_zone[zone] = by_zone.get(zone, 0) + room.count_tasks_beside_replicas(spec)
             most = self._places[key] = max(by_zone.values(), default=0)
         return most >= spec.tasks
 
-    def reserve(self, spec: Job) -> list[Room]:
+    def find_to_earmark(self, spec: Job) -> list[MachineCapacity]:
         """Rooms to keep free for a gang that does not fit yet: the emptiest of one zone.
 
         The order is that of the round's first look: what a task has taken since changes
@@ -130,20 +137,20 @@
         by_zone = self._emptiest.get(kind)
         if by_zone is None:
             by_zone = self._emptiest[kind] = {}
-            for room in sorted(self.usable(spec), key=lambda r: (r.left, r.id)):
+            for room in sorted(self.find_usable(spec), key=lambda r: (r.largest_free_share, r.id)):
                 by_zone.setdefault(room.zone if spec.together else "", []).append(room)
-        best: list[Room] = []
+        best: list[MachineCapacity] = []
         most = -1.0
         for _, rooms in sorted(by_zone.items()):
-            while rooms and rooms[-1].draining:
+            while rooms and rooms[-1].is_unschedulable:
                 rooms.pop()
-            plan: list[Room] = []
+            plan: list[MachineCapacity] = []
             for room in reversed(rooms):
                 if len(plan) == spec.tasks:
                     break
-                if not room.draining:
+                if not room.is_unschedulable:
                     plan.append(room)
-            worth = sum(r.left for r in plan)
+            worth = sum(r.largest_free_share for r in plan)
             if worth > most:
                 best, most = plan, worth
         return best
--- a/coursefold/coordination/hires.py
+++ b/coursefold/coordination/hires.py
@@ -13,7 +13,7 @@
 from coursefold.coordination.context import Context
 from coursefold.coordination.demand import PoolId
 from coursefold.coordination.inventory import Inventory
-from coursefold.coordination.placement import Place
+from coursefold.coordination.placement import MachineOffering
 from coursefold.protocol.wire import Boxes, decode
 from coursefold.storage import codec
 from coursefold.storage.edits import Edit, NotApplicableError, Result
@@ -49,8 +49,8 @@
 
     def clear(self) -> None:
         """Begin anew, as a new leader does."""
-        self.blocked: dict[Place, float] = {}
-        self.refusals: dict[Place, int] = {}
+        self.blocked: dict[MachineOffering, float] = {}
+        self.refusals: dict[MachineOffering, int] = {}
         self.begin()
 
     def begin(self) -> None:
@@ -58,7 +58,7 @@
         self.asked: set[str] = set()
         self.answered: set[str] = set()
 
-    def is_blocked(self, place: Place) -> bool:
+    def is_blocked(self, place: MachineOffering) -> bool:
         """Was the cloud out of such machines a moment ago?"""
         return self.blocked.get(place, 0.0) > self.ctx.now
 
@@ -123,7 +123,7 @@
             self._take_machines(pool, hire, decode(body, Boxes).machines)
         elif refused:
             log.info("hire %s: refused (%d) in %s %s", hire.name, status, pool, hire.zone)
-            self._block(Place(pool.build, hire.zone, pool.spot))
+            self._block(MachineOffering(pool.build, hire.zone, pool.spot))
             self._write(pool, hire.name, None)
 
     def _take_machines(self, pool: PoolId, hire: Hire, machines: list[str]) -> None:
@@ -133,14 +133,14 @@
             "hire %s: %d of %d in %s %s: %s",
             hire.name, len(machines), hire.count, pool, hire.zone, ",".join(machines),
         )  # fmt: skip
-        place = Place(pool.build, hire.zone, pool.spot)
+        place = MachineOffering(pool.build, hire.zone, pool.spot)
         if len(machines) < hire.count:
             self._block(place)
         else:
             self.refusals.pop(place, None)
         self._write(pool, hire.name, msgspec.structs.replace(hire, machines=machines))
 
-    def _block(self, place: Place) -> None:
+    def _block(self, place: MachineOffering) -> None:
         """No capacity: ask elsewhere for a while."""
         times = self.refusals.get(place, 0)
         self.refusals[place] = times + 1
--- a/coursefold/coordination/ordering.py
+++ b/coursefold/coordination/ordering.py
@@ -15,7 +15,7 @@
 from coursefold.protocol.wire import RANKS, Job
 from coursefold.settings import Objective
 
-LONG_S = 180.0  # a large job has to start within 4 minutes, and gathering room takes one
+LONG_WAIT_S = 180.0  # a large job has to start within 4 minutes, and gathering room takes one
 STARVED_S = 600.0
 
 
@@ -31,7 +31,7 @@
     name: str
 
 
-class Ordering:
+class QueueOrder:
     """Latest starts by the settings' objectives."""
 
     def __init__(self, objectives: list[Objective]) -> None:
@@ -86,6 +86,6 @@
             return Order(min(group, 1), rank, False, 0, 0.0, -age, name)
         late = bool(starts) and not ahead
         size = spec.tasks if spec.shape == "ensemble" else 0
-        if spec.shape == "array" and age <= LONG_S:
+        if spec.shape == "array" and age <= LONG_WAIT_S:
             size = waiting  # all its tasks have to end in time: the nearly done come first
         return Order(group, rank, late, size, ahead[0] if ahead else 0.0, -age, name)
--- a/coursefold/coordination/owner.py
+++ b/coursefold/coordination/owner.py
@@ -12,7 +12,7 @@
 from coursefold.coordination.election import Election
 from coursefold.coordination.hearing import Hearing
 from coursefold.coordination.lease_renewal import LeaseRenewal
-from coursefold.coordination.placing import Placing
+from coursefold.coordination.owner_placement import OwnerPlacement
 from coursefold.coordination.steps import Forward, Steps
 from coursefold.protocol.ids import parse_task
 from coursefold.protocol.wire import Order, Report
@@ -35,7 +35,7 @@
         self.hearing = Hearing(ctx)
         self.renewal = LeaseRenewal(ctx)
         self.commands = Commands(ctx, steps)
-        self.placing = Placing(ctx, steps)
+        self.placing = OwnerPlacement(ctx, steps)
         self.swept_at = -1e9
         self.swept_token = -1
         self.departed: dict[str, tuple[int, int]] = {}
@@ -209,7 +209,7 @@
         if ctx.now - self.swept_at >= SWEEP_S or self.swept_token != ctx.view.token:
             self.swept_at, self.swept_token = ctx.now, ctx.view.token
             self._sweep()
-        self.placing.place()
+        self.placing.place_assigned_tasks()
 
     def _sweep(self) -> None:
         """Which of our machines are silent."""
--- a/coursefold/coordination/placing.py
+++ b/coursefold/coordination/owner_placement.py
@@ -5,7 +5,12 @@
 
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
-from coursefold.coordination.placement import SLACK, Picker, Refused, Room
+from coursefold.coordination.placement import (
+    SLACK,
+    FailedSearches,
+    MachineCapacity,
+    PlacementSearch,
+)
 from coursefold.coordination.steps import Steps
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
@@ -17,14 +22,14 @@
 SEARCH_S = 3.0  # without room for a dealt task: it goes back to the leader
 
 
-class Placing:
+class OwnerPlacement:
     """Chooses machines in our part."""
 
     def __init__(self, ctx: Context, steps: Steps) -> None:
         self.ctx, self.steps = ctx, steps
         self.dealt_since: dict[tuple[str, int], float] = {}
 
-    def place(self) -> None:
+    def place_assigned_tasks(self) -> None:
         """Find machines in our part for the tasks dealt to us."""
         ctx = self.ctx
         dealt = ctx.view.dealt.get(ctx.me)
@@ -40,8 +45,8 @@
         ]
         if not mine:
             return
-        rooms: list[Room] | None = None
-        refused = Refused()
+        rooms: list[MachineCapacity] | None = None
+        refused = FailedSearches()
         extra = self._under_way()
         found: dict[JobId, list[jobs.Task]] = {}
         for name, job, entry in mine:
@@ -56,7 +61,9 @@
                 rooms = ctx.rooms(mine_only=True)
             room = None
             if not refused.covers(job.spec, entry.zone):
-                room = Picker(job.spec, rooms, zone=entry.zone, market=ctx.market()).take()
+                room = PlacementSearch(
+                    job.spec, rooms, zone=entry.zone, price_index=ctx.market()
+                ).reserve_best()
                 if room is None:
                     refused.add(job.spec, entry.zone)
             if room is not None:
@@ -69,7 +76,7 @@
             if ctx.now - since > SEARCH_S:
                 self.steps.propose(name, "undeal", entry, f"undeal{entry.index}", rank=LATER)
         for name, tasks in found.items():
-            self.propose_place(name, ctx.view.jobs[name], tasks)
+            self.propose_placement(name, ctx.view.jobs[name], tasks)
 
     def _under_way(self) -> dict[str, list[Job]]:
         """What is about to be placed where the records do not show it yet, by machine."""
@@ -82,17 +89,17 @@
         return found
 
     @staticmethod
-    def _fits(room: Room, entry: Entry, extra: Iterable[Job]) -> bool:
+    def _fits(room: MachineCapacity, entry: Entry, extra: Iterable[Job]) -> bool:
         """Does the hint, whose room counts the task already, still hold?"""
         for spec in extra:
-            room.take(spec)
+            room.reserve(spec)
         return (
-            not (room.lent or room.draining)
+            not (room.reserved_for_gang or room.is_unschedulable)
             and (not entry.zone or entry.zone == room.zone)
-            and min(room.cpus, room.gpus, room.memory) >= -SLACK
+            and min(room.cpus, room.gpus, room.memory_gb) >= -SLACK
         )
 
-    def propose_place(self, name: JobId, job: JobRecord, tasks: list[jobs.Task]) -> None:
+    def propose_placement(self, name: JobId, job: JobRecord, tasks: list[jobs.Task]) -> None:
         """Write a job's new places, all at once; until then they count as taken."""
         ctx = self.ctx
         for task in tasks:
--- a/coursefold/coordination/placement.py
+++ b/coursefold/coordination/placement.py
@@ -16,35 +16,35 @@
 ALONE = 15.0  # seconds of fetching that it is worth not to pin another empty machine
 
 
-class Place(NamedTuple):
+class MachineOffering(NamedTuple):
     """Where machines can be had: a type, a zone, spot or ordinary."""
 
-    build: str
+    machine_type: str
     zone: str
     spot: bool
 
 
-class Room:
+class MachineCapacity:
     """A machine as a place for tasks, with what is still free on it."""
 
     __slots__ = (
+        "cached_images",
         "cpus",
-        "draining",
-        "fetching",
+        "earmarked_for_gang",
         "gpus",
+        "has_protected_accelerators",
         "id",
         "idle_since",
-        "images",
-        "kept",
-        "kind",
-        "lasting",
-        "lent",
-        "memory",
+        "is_unschedulable",
+        "memory_gb",
         "owner",
-        "reserved",
+        "replica_usage",
+        "reserved_for_gang",
         "session",
         "spot",
-        "tasks",
+        "task_count",
+        "task_images_gb",
+        "type_info",
         "zone",
     )
 
@@ -59,32 +59,32 @@
         load: Load = EMPTY,
         images: Collection[str] = frozenset(),
     ) -> None:
-        self.id, self.kind, self.zone, self.spot = id, kind, zone, spot
+        self.id, self.type_info, self.zone, self.spot = id, kind, zone, spot
         self.owner, self.session = owner, session
         self.cpus = kind.cpus - load.cpus
         self.gpus = kind.gpus - load.gpus
-        self.memory = kind.memory - load.memory
-        self.images = images
-        self.fetching = load.images  # shared until something is taken
-        self.tasks = len(load.specs)
-        self.lasting = load.lasting
-        self.lent = False
-        self.draining = False
-        self.kept = False  # tasks with accelerators wait for it
-        self.reserved = False  # and it is gathered for a gang of them, in this round
+        self.memory_gb = kind.memory - load.memory
+        self.cached_images = images
+        self.task_images_gb = load.images  # shared until something is taken
+        self.task_count = len(load.specs)
+        self.replica_usage = load.lasting
+        self.reserved_for_gang = False
+        self.is_unschedulable = False
+        self.has_protected_accelerators = False  # tasks with accelerators wait for it
+        self.earmarked_for_gang = False  # and it is gathered for a gang of them, in this round
         self.idle_since = 0.0
 
-    def holds(self, spec: Job) -> bool:
+    def fits_task(self, spec: Job) -> bool:
         """Is there room for a task of the job?"""
         return (
             spec.cpus <= self.cpus + SLACK
             and spec.gpus <= self.gpus + SLACK
-            and spec.memory <= self.memory + SLACK
+            and spec.memory <= self.memory_gb + SLACK
         )
 
-    def places(self, spec: Job) -> int:
+    def count_tasks_beside_replicas(self, spec: Job) -> int:
         """Tasks of the job that would fit if all had ended that ends by itself."""
-        kind, (cpus, gpus, memory) = self.kind, self.lasting
+        kind, (cpus, gpus, memory) = self.type_info, self.replica_usage
         amounts = (
             (kind.cpus - cpus, spec.cpus),
             (kind.gpus - gpus, spec.gpus),
@@ -92,35 +92,35 @@
         )
         return int(min(((free + SLACK) / one for free, one in amounts if one), default=0.0))
 
-    def take(self, spec: Job) -> None:
+    def reserve(self, spec: Job) -> None:
         """Count a task as placed here."""
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
-        self.memory -= spec.memory
-        self.tasks += 1
-        if spec.image not in self.images:
-            self.fetching = {**self.fetching, spec.image: spec.image_gb}
+        self.memory_gb -= spec.memory
+        self.task_count += 1
+        if spec.image not in self.cached_images:
+            self.task_images_gb = {**self.task_images_gb, spec.image: spec.image_gb}
 
-    def give(self, spec: Job) -> None:
+    def release(self, spec: Job) -> None:
         """Count a task as gone from here."""
         self.cpus += spec.cpus
         self.gpus += spec.gpus
-        self.memory += spec.memory
-        self.tasks -= 1
+        self.memory_gb += spec.memory
+        self.task_count -= 1
 
     @property
-    def left(self) -> float:
+    def largest_free_share(self) -> float:
         """The largest free share of any resource."""
-        kind = self.kind
+        kind = self.type_info
         most = self.cpus / kind.cpus if kind.cpus else 0.0
         if kind.gpus and self.gpus / kind.gpus > most:
             most = self.gpus / kind.gpus
-        if kind.memory and self.memory / kind.memory > most:
-            most = self.memory / kind.memory
+        if kind.memory and self.memory_gb / kind.memory > most:
+            most = self.memory_gb / kind.memory
         return most
 
 
-def fits_type(spec: Job, kind: MachineType) -> bool:
+def fits_machine_type(spec: Job, kind: MachineType) -> bool:
     """True if an empty machine of this type holds a task and the job allows it."""
     if spec.builds is not None and kind.name not in spec.builds:
         return False
@@ -133,16 +133,16 @@
     )
 
 
-def allowed(spec: Job, room: Room) -> bool:
+def may_run_on(spec: Job, room: MachineCapacity) -> bool:
     """What the job says of types, zones and spot machines; workers do not check it."""
     return (
-        (spec.builds is None or room.kind.name in spec.builds)
+        (spec.builds is None or room.type_info.name in spec.builds)
         and (spec.zone is None or spec.zone == room.zone)
         and (spec.spot or not room.spot)
     )
 
 
-def share(spec: Job, kind: MachineType) -> float:
+def compute_machine_share(spec: Job, kind: MachineType) -> float:
     """The part of a machine that a task takes: one of as many as fit there."""
     largest = max(
         spec.cpus / kind.cpus if kind.cpus else 0.0,
@@ -153,9 +153,9 @@
     return 1.0 / max(1, int(1.0 / largest + SLACK))
 
 
-def places(spec: Job, room: Room, beside: Job | None = None) -> int:
+def places(spec: Job, room: MachineCapacity, beside: Job | None = None) -> int:
     """How many tasks of a job fit into what is free, after one of another."""
-    cpus, gpus, memory = room.cpus, room.gpus, room.memory
+    cpus, gpus, memory = room.cpus, room.gpus, room.memory_gb
     if beside is not None:
         cpus, gpus, memory = cpus - beside.cpus, gpus - beside.gpus, memory - beside.memory
     ratios = [
@@ -166,7 +166,7 @@
     return max(0, int(min(ratios, default=0.0) + SLACK))
 
 
-class Market:
+class PriceIndex:
     """Which machine types are worth more to other classes than to this one.
 
     A task that fits one type well and another badly loses more by being elsewhere
@@ -177,74 +177,78 @@
 
     def __init__(self, kinds: Iterable[MachineType] = (), specs: Iterable[Job] = ()) -> None:
         self.savings: dict[str, dict[str, float]] = {}
-        self.needed: set[str] = set()
+        self.needed_ordinary_types: set[str] = set()
         self.cheapest: dict[str, str] = {}
         specs = list(specs)
-        self.accelerated = [spec for spec in specs if spec.gpus]
+        self.accelerator_jobs = [spec for spec in specs if spec.gpus]
         self._fences: dict[tuple[object, ...], bool] = {}
         kinds = list(kinds)
         for spec in specs:
-            prices = {k.name: k.price * share(spec, k) for k in kinds if fits_type(spec, k)}
+            prices = {
+                k.name: k.price * compute_machine_share(spec, k)
+                for k in kinds
+                if fits_machine_type(spec, k)
+            }
             if not prices:
                 continue
             cheapest = self.cheapest[spec.lane] = min(prices, key=prices.__getitem__)
             if not spec.spot:
-                self.needed.add(cheapest)
+                self.needed_ordinary_types.add(cheapest)
             others = [price for name, price in prices.items() if name != cheapest]
             if others:
                 kind = next(k for k in kinds if k.name == cheapest)
-                saving = (min(others) - prices[cheapest]) / share(spec, kind)
+                saving = (min(others) - prices[cheapest]) / compute_machine_share(spec, kind)
                 self.savings.setdefault(cheapest, {})[spec.lane] = saving
 
-    def best(self, spec: Job) -> str | None:
+    def find_preferred_type(self, spec: Job) -> str | None:
         """The type that a class belongs on, if it would displace others elsewhere."""
         cheapest = self.cheapest.get(spec.lane)
         return cheapest if any(kind != cheapest for kind in self.savings) else None
 
-    def fences(self, spec: Job, room: Room) -> bool:
+    def blocks_accelerators(self, spec: Job, room: MachineCapacity) -> bool:
         """Would a task without accelerators take from a room what those with them could use?
 
         It does if fewer tasks of some class would fit beside it than before. Rooms are alike
         by the hundred, so what was found for one holds for the others.
         """
-        if room.gpus <= SLACK or not self.accelerated:
+        if room.gpus <= SLACK or not self.accelerator_jobs:
             return False
-        free = (round(room.cpus, 3), round(room.gpus, 3), round(room.memory, 3))
-        key = (spec.cpus, spec.memory, room.kind.name, room.spot, room.zone, *free)
+        free = (round(room.cpus, 3), round(room.gpus, 3), round(room.memory_gb, 3))
+        key = (spec.cpus, spec.memory, room.type_info.name, room.spot, room.zone, *free)
         found = self._fences.get(key)
         if found is None:
             found = self._fences[key] = any(
                 places(other, room) > places(other, room, spec)
-                for other in self.accelerated
-                if allowed(other, room)
+                for other in self.accelerator_jobs
+                if may_run_on(other, room)
             )
         return found
 
-    def displaced(self, spec: Job, kind: MachineType) -> float:
+    def estimate_displacement_cost(self, spec: Job, kind: MachineType) -> float:
         """What a task there costs others, per hour."""
         worth = self.savings.get(kind.name)
         if not worth:
             return 0.0
         most = max((s for lane, s in worth.items() if lane != spec.lane), default=0.0)
-        return share(spec, kind) * most
+        return compute_machine_share(spec, kind) * most
 
 
-NO_MARKET = Market()
+EMPTY_PRICE_INDEX = PriceIndex()
 
 
-def fetch_time(spec: Job, room: Room) -> float:
+def fetch_time(spec: Job, room: MachineCapacity) -> float:
     """Seconds until the image is there; images fetched together share the rate.
 
     What this fetch takes from the others is counted too: they belong to tasks that wait.
     """
-    if spec.image in room.images or not room.kind.fetch:
+    if spec.image in room.cached_images or not room.type_info.fetch:
         return 0.0
     others = 0.0
-    for image, gb in room.fetching.items():
-        if image != spec.image and image not in room.images:
+    for image, gb in room.task_images_gb.items():
+        if image != spec.image and image not in room.cached_images:
             others += gb
     shared = spec.image_gb if others else 0.0
-    return (spec.image_gb + others + shared) / room.kind.fetch
+    return (spec.image_gb + others + shared) / room.type_info.fetch
 
 
 class Weigher:
@@ -265,51 +269,56 @@
     of them out it costs nothing but the fetch. Where it does is the last resort.
     """
 
-    def __init__(self, spec: Job, market: Market = NO_MARKET, slack: float = inf) -> None:
-        self.spec, self.market, self.slack = spec, market, slack
+    def __init__(
+        self, spec: Job, price_index: PriceIndex = EMPTY_PRICE_INDEX, slack: float = inf
+    ) -> None:
+        self.spec, self.price_index, self.slack = spec, price_index, slack
         self.alone = ALONE if spec.shape == "standing" else 0.0
         self.bases: dict[tuple[str, bool], float] = {}
 
     def _base(self, kind: MachineType, spot: bool) -> float:
-        spec, market = self.spec, self.market
-        part = share(spec, kind)
+        spec, price_index = self.spec, self.price_index
+        part = compute_machine_share(spec, kind)
         wasteful = 0.0
         if spec.spot and not spot:
-            wasteful = WASTEFUL if kind.name in market.needed else UNUSUAL
+            wasteful = WASTEFUL if kind.name in price_index.needed_ordinary_types else UNUSUAL
         hourly = (kind.spot_price if spot else kind.price) * part
-        hourly += market.displaced(spec, kind)
+        hourly += price_index.estimate_displacement_cost(spec, kind)
         pinned = 40.0 * (1.0 - part) if spec.shape == "standing" else 0.0
         return wasteful + 5.0 * hourly + pinned
 
-    def __call__(self, room: Room) -> tuple[float, float, str]:
+    def __call__(self, room: MachineCapacity) -> tuple[float, float, str]:
         """The room's price for the job, smaller is better."""
-        kind = (room.kind.name, room.spot)
-        if not self.spec.gpus and room.kind.gpus:
+        kind = (room.type_info.name, room.spot)
+        if not self.spec.gpus and room.type_info.gpus:
             return self._leftover(room)
         price = self.bases.get(kind)
         if price is None:
-            price = self.bases[kind] = self._base(room.kind, room.spot)
-        if room.tasks == 0:
+            price = self.bases[kind] = self._base(room.type_info, room.spot)
+        if room.task_count == 0:
             price += self.alone
-        if self.spec.image not in room.images:
+        if self.spec.image not in room.cached_images:
             fetch = fetch_time(self.spec, room)
             price += fetch + (TOO_LATE if fetch > self.slack else 0.0)
-        return (price, room.left, room.id)
+        return (price, room.largest_free_share, room.id)
 
-    def _leftover(self, room: Room) -> tuple[float, float, str]:
-        price = ALONE if room.tasks == 0 else 0.0  # it could be returned
-        if self.market.fences(self.spec, room):
-            price += FENCED * (1.0 + room.gpus / room.kind.gpus)
-        if self.spec.image not in room.images:
+    def _leftover(self, room: MachineCapacity) -> tuple[float, float, str]:
+        price = ALONE if room.task_count == 0 else 0.0  # it could be returned
+        if self.price_index.blocks_accelerators(self.spec, room):
+            price += FENCED * (1.0 + room.gpus / room.type_info.gpus)
+        if self.spec.image not in room.cached_images:
             price += fetch_time(self.spec, room)
-        return (price, room.left, room.id)
+        return (price, room.largest_free_share, room.id)
 
 
 def cost(
-    spec: Job, room: Room, market: Market = NO_MARKET, slack: float = inf
+    spec: Job,
+    room: MachineCapacity,
+    price_index: PriceIndex = EMPTY_PRICE_INDEX,
+    slack: float = inf,
 ) -> tuple[float, float, str]:
     """What one task costs in one room."""
-    return Weigher(spec, market, slack)(room)
+    return Weigher(spec, price_index, slack)(room)
 
 
 def zone_limit(spec: Job) -> int | None:
@@ -317,7 +326,7 @@
     return (spec.tasks + 1) // 2 if spec.apart else None
 
 
-class Picker:
+class PlacementSearch:
     """The best rooms for one job's tasks, one after the other.
 
     The cost of a room changes only when something is taken from it, so all rooms
@@ -327,14 +336,14 @@
     def __init__(
         self,
         spec: Job,
-        rooms: Iterable[Room],
+        rooms: Iterable[MachineCapacity],
         zones: dict[str, int] | None = None,
         zone: str = "",
         avoid: Collection[str] = (),
-        market: Market = NO_MARKET,
+        price_index: PriceIndex = EMPTY_PRICE_INDEX,
         slack: float = inf,
     ) -> None:
-        self.spec, self.weigh = spec, Weigher(spec, market, slack)
+        self.spec, self.weigh = spec, Weigher(spec, price_index, slack)
         self.zones = zones if zones is not None else {}
         self.limit = zone_limit(spec)
         builds, site, spot = spec.builds, spec.zone or zone, spec.spot
@@ -344,17 +353,19 @@
             for room in rooms
             if room.gpus >= gpus
             and room.cpus >= cpus
-            and room.memory >= memory
-            and not (room.lent or room.draining)
+            and room.memory_gb >= memory
+            and not (room.reserved_for_gang or room.is_unschedulable)
             and (spot or not room.spot)
-            and (builds is None or room.kind.name in builds)
+            and (builds is None or room.type_info.name in builds)
             and (not site or site == room.zone)
             and (not zone or zone == room.zone)
-            and not (room.kept and market.fences(spec, room))
+            and not (
+                room.has_protected_accelerators and price_index.blocks_accelerators(spec, room)
+            )
         ]
         heapify(self.heap)
 
-    def best(self) -> Room | None:
+    def find_best(self) -> MachineCapacity | None:
         """The best room now; `zones` counts the job's other tasks by zone."""
         zones, spec = self.zones, self.spec
         while self.heap:
@@ -367,14 +378,17 @@
             return room
         return None
 
-    def take(self) -> Room | None:
+    def reserve_best(self) -> MachineCapacity | None:
         """Take a task's share of the best room and count its zone."""
-        room = self.best()
+        room = self.find_best()
         if room is None:
             return None
-        room.take(self.spec)
+        room.reserve(self.spec)
         self.zones[room.zone] = self.zones.get(room.zone, 0) + 1
-        if room.holds(self.spec) and not (room.kept and self.weigh.market.fences(self.spec, room)):
+        if room.fits_task(self.spec) and not (
+            room.has_protected_accelerators
+            and self.weigh.price_index.blocks_accelerators(self.spec, room)
+        ):
             shunned = self.heap[0][0][0]
             heapreplace(self.heap, ((shunned, *self.weigh(room)), room))
         else:
@@ -384,20 +398,20 @@
 
 def choose(
     spec: Job,
-    rooms: Iterable[Room],
+    rooms: Iterable[MachineCapacity],
     zones: dict[str, int] | None = None,
     zone: str = "",
     avoid: Collection[str] = (),
-) -> Room | None:
+) -> MachineCapacity | None:
     """The best room for one task.
 
     `zones` counts the job's other tasks by zone; `avoid` names machines on which
     it failed, taken only where nothing else is left.
     """
-    return Picker(spec, rooms, zones, zone, avoid).best()
+    return PlacementSearch(spec, rooms, zones, zone, avoid).find_best()
 
 
-class Refused:
+class FailedSearches:
     """What found no room in this round: nothing that asks for as much needs to look again."""
 
     def __init__(self) -> None:
--- a/coursefold/coordination/pools.py
+++ b/coursefold/coordination/pools.py
@@ -14,10 +14,10 @@
 from coursefold.coordination.inventory import SPARE, Inventory
 from coursefold.coordination.leader import Leader
 from coursefold.coordination.pid import Gains, step
-from coursefold.coordination.placement import Place, Room
-from coursefold.coordination.quota import Quota
+from coursefold.coordination.placement import MachineCapacity, MachineOffering
+from coursefold.coordination.quota import QuotaTracker
 from coursefold.coordination.stability import Losses
-from coursefold.coordination.waiting import Waiting
+from coursefold.coordination.waiting import QueuedJob
 from coursefold.policy import Adjustment
 from coursefold.policy.model import Env
 from coursefold.protocol.wire import Catalog, Job
@@ -44,7 +44,7 @@
     def clear(self) -> None:
         """Begin anew, as a new leader does; the integral starts at zero."""
         self.errors: dict[PoolId, tuple[float, float]] = {}
-        self.runs = self.leader.runs = Runs()
+        self.runs = self.leader.run_times = Runs()
         self.arrivals: dict[str, tuple[float, Job]] = {}
         self.fired: dict[PoolId, tuple[str, ...]] = {}
         self.demands: dict[PoolId, PoolDemand] = {}  # of the last step
@@ -103,27 +103,27 @@
     def _needs(self) -> list[Need]:
         """Tasks that wait, in queue order and within their teams' limits."""
         ctx = self.ctx
-        quota = Quota(ctx.settings.params.teams, ctx.view.usage)
+        quota = QuotaTracker(ctx.settings.params.teams, ctx.view.usage)
         needs: list[Need] = []
-        for wait in self.leader.queue(quota):
+        for wait in self.leader.list_queued_jobs(quota):
             count = self._within_limits(wait, quota)
             if count <= 0:
                 continue
-            quota.take(wait.job.spec, count)
+            quota.add_usage(wait.job.spec, count)
             zones: dict[str, int] = {}
             for entry in wait.job.entries:
                 zones[entry.zone] = zones.get(entry.zone, 0) + 1
-            needs.append(Need(wait.job.spec, count, zones, wait.slack, wait.age))
+            needs.append(Need(wait.job.spec, count, zones, wait.slack_s, wait.age_s))
         return needs
 
-    def _within_limits(self, wait: Waiting, quota: Quota) -> int:
+    def _within_limits(self, wait: QueuedJob, quota: QuotaTracker) -> int:
         """How many of a job's waiting tasks its record and its team's limit have room for."""
         spec = wait.job.spec
-        count = min(wait.job.waiting_count, self.leader.most_entries())
+        count = min(wait.job.waiting_count, self.leader.max_entries())
         # What its team's limit is kept for needs its machines once the limit has room.
-        if self.leader.keeps_quota(wait):
+        if self.leader.reserves_quota(wait):
             return count
-        while count > 0 and not quota.fits(spec, count):
+        while count > 0 and not quota.fits_limit(spec, count):
             count = count - 1 if spec.shape == "array" else 0
         return count
 
@@ -134,7 +134,7 @@
                 for spec in self.ctx.view.load(name).specs:
                     planner.running(spec, machine.pool)
 
-    def all_rooms(self) -> list[Room]:
+    def all_rooms(self) -> list[MachineCapacity]:
         """Free room now, and the machines that are about to be up."""
         ctx = self.ctx
         inventory = self.inventory
@@ -147,12 +147,12 @@
             if machine.up and not inventory.is_changing_hands(machine):
                 continue
             if kind and not inventory.is_late(machine):
-                rooms.append(Room(machine.id, kind, machine.zone, machine.spot, "", 0))
+                rooms.append(MachineCapacity(machine.id, kind, machine.zone, machine.spot, "", 0))
         for room in rooms:
-            if room.lent and room.id in self.leader.wanted:
-                room.lent = False
+            if room.reserved_for_gang and room.id in self.leader.requested_machines:
+                room.reserved_for_gang = False
             if ctx.ownership.move(room.id) is not None:
-                room.draining = False  # it stays ours: a move rents nothing
+                room.is_unschedulable = False  # it stays ours: a move rents nothing
         return rooms
 
     # The loop of one pool
@@ -161,7 +161,9 @@
         ctx = self.ctx
         target = demand.target(self.parameters.eta)
         size = demand.machines * demand.k
-        booting = (pool.build, pool.spot) in {(b, spot) for b, _, spot in self.leader.booting}
+        booting = (pool.build, pool.spot) in {
+            (b, spot) for b, _, spot in self.leader.booting_offerings
+        }
         error = target - size
         last, integral = self.errors.get(pool, (0.0, 0.0))
         result = step(error, last, integral, self.gains, hold=booting, clamp=float(demand.k))
@@ -208,7 +210,7 @@
         waits = [
             ctx.now - room.idle_since
             for room in ctx.rooms()
-            if (room.kind.name, room.spot) == pool and room.tasks == 0
+            if (room.type_info.name, room.spot) == pool and room.task_count == 0
         ]
         env: Env = {
             "lambda": demand.arrivals / demand.window,
@@ -237,7 +239,7 @@
         zones = [
             zone
             for zone in demand.kind.zones
-            if not self.hires.is_blocked(Place(pool.build, zone, pool.spot))
+            if not self.hires.is_blocked(MachineOffering(pool.build, zone, pool.spot))
         ]
         if not zones:
             return
@@ -276,7 +278,7 @@
             if machine.pool == pool
             and machine.id not in inventory.returning
             and machine.id in rooms
-            and rooms[machine.id].tasks == 0
+            and rooms[machine.id].task_count == 0
             and ctx.now - rooms[machine.id].idle_since > self.parameters.idle
             and not ctx.view.on_machine(machine.id)
         ]
--- a/coursefold/coordination/preemption.py
+++ b/coursefold/coordination/preemption.py
@@ -9,8 +9,8 @@
 
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
-from coursefold.coordination.placement import Room, allowed, fetch_time
-from coursefold.coordination.quota import Quota
+from coursefold.coordination.placement import MachineCapacity, fetch_time, may_run_on
+from coursefold.coordination.quota import QuotaTracker
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 from coursefold.storage.edits import Edit
@@ -42,14 +42,14 @@
         """Replicas wait for nothing; other work gives machines a while to free up."""
         return 0.0 if spec.shape == "standing" else 8.0
 
-    def may(
+    def may_stop(
         self,
         spec: Job,
         rank: int,
         within: bool,
         name: JobId,
         victim: JobRecord,
-        quota: Quota | None,
+        quota: QuotaTracker | None,
         age: float,
     ) -> bool:
         """The protocol's rule: a lower rank, or another team's work beyond its guarantee.
@@ -69,7 +69,7 @@
             and victim.spec.team != spec.team
             # The rule would allow it, but a replica's users notice every second.
             and victim.spec.shape != "standing"
-            and not quota.within_guarantee(victim.spec, 0)
+            and not quota.is_within_guarantee(victim.spec, 0)
             and bool(quota.teams[victim.spec.team].gpus or quota.teams[victim.spec.team].cpus)
         )
 
@@ -82,17 +82,17 @@
         self.plans[(name, index)] = self.ctx.now + RETRY_S
         return True
 
-    def _lowest(self, room: Room) -> int:
+    def _lowest(self, room: MachineCapacity) -> int:
         """The least important rank on a machine, which is the highest number."""
         return self.ctx.view.load(room.id).lowest
 
     def victims(
         self,
-        room: Room,
+        room: MachineCapacity,
         spec: Job,
         rank: int,
         within: bool,
-        quota: Quota | None,
+        quota: QuotaTracker | None,
         age: float,
     ) -> list[tuple[JobId, Entry]] | None:
         """The fewest and cheapest tasks to stop on a machine, or None if that is not enough."""
@@ -110,18 +110,18 @@
             if e.stage == PLACED
             and job.status == LIVE
             and (job.spec.shape != "ensemble" or job.spec.tasks == 1)
-            and self.may(spec, rank, within, name, job, quota, age)
+            and self.may_stop(spec, rank, within, name, job, quota, age)
         ]
         able.sort(key=lambda v: (v[2].spec.checkpoint <= 0, -self.rank(v[0], v[2]), -v[2].at))
         chosen: list[tuple[JobId, Entry]] = []
         for name, e, job in able:
-            if room.holds(spec):
+            if room.fits_task(spec):
                 break
-            room.give(job.spec)
+            room.release(job.spec)
             chosen.append((name, e))
-        enough = room.holds(spec)
+        enough = room.fits_task(spec)
         for name, _ in chosen:
-            room.take(ctx.view.jobs[name].spec)
+            room.reserve(ctx.view.jobs[name].spec)
         return chosen if enough and chosen else None
 
     def consider(
@@ -129,9 +129,9 @@
         name: JobId,
         job: JobRecord,
         index: int,
-        rooms: list[Room],
+        rooms: list[MachineCapacity],
         within: bool,
-        quota: Quota | None,
+        quota: QuotaTracker | None,
         age: float,
     ) -> None:
         """Make room for one task, if stopping others can."""
@@ -144,7 +144,7 @@
         for room in rooms:
             if not (owed or self._lowest(room) > rank):
                 continue  # nothing there that this may stop
-            if room.draining or room.lent or not allowed(job.spec, room):
+            if room.is_unschedulable or room.reserved_for_gang or not may_run_on(job.spec, room):
                 continue
             found = self.victims(room, job.spec, rank, within, quota, age)
             if found is None:
@@ -157,7 +157,7 @@
             self._stop(name, index, best)
 
     def consider_gang(
-        self, name: JobId, job: JobRecord, rooms: list[Room], within: bool, age: float
+        self, name: JobId, job: JobRecord, rooms: list[MachineCapacity], within: bool, age: float
     ) -> None:
         """Make room for a gang: only if every missing place can be freed."""
         if not self._ready(name, job, 0, age):
@@ -166,7 +166,7 @@
         rooms = [
             r
             for r in rooms
-            if (r.holds(job.spec) or self._lowest(r) > rank) and allowed(job.spec, r)
+            if (r.fits_task(job.spec) or self._lowest(r) > rank) and may_run_on(job.spec, r)
         ]
         if not any(self._lowest(r) > rank for r in rooms):
             return
@@ -174,10 +174,10 @@
         for zone in zones:
             chosen: list[tuple[JobId, Entry]] = []
             places = 0
-            for room in sorted(rooms, key=lambda r: -r.left):
+            for room in sorted(rooms, key=lambda r: -r.largest_free_share):
                 if zone and room.zone != zone:
                     continue
-                if room.holds(job.spec):
+                if room.fits_task(job.spec):
                     places += 1
                 elif places < job.spec.tasks:
                     found = self.victims(room, job.spec, rank, within, None, age)
--- a/coursefold/coordination/quota.py
+++ b/coursefold/coordination/quota.py
@@ -12,7 +12,7 @@
 SLACK = 1e-6
 
 
-class Quota:
+class QuotaTracker:
     """Use by team at one moment; `take` keeps it true within one round of decisions."""
 
     def __init__(self, teams: Iterable[Team], usage: Mapping[str, list[float]]) -> None:
@@ -22,17 +22,17 @@
         for name, used in usage.items():
             self.used[name] = list(used)
 
-    def take(self, spec: Job, tasks: int) -> None:
+    def add_usage(self, spec: Job, tasks: int) -> None:
         """Count tasks as used."""
         used = self.used.setdefault(spec.team, [0.0, 0.0])
         used[0] += spec.cpus * tasks
         used[1] += spec.gpus * tasks
 
-    def fits(self, spec: Job, tasks: int) -> bool:
+    def fits_limit(self, spec: Job, tasks: int) -> bool:
         """True if the team may use that much more."""
-        return limit_fits(self.teams.get(spec.team), spec, tasks, self.used.get(spec.team))
+        return fits_team_limit(self.teams.get(spec.team), spec, tasks, self.used.get(spec.team))
 
-    def within_guarantee(self, spec: Job, tasks: int) -> bool:
+    def is_within_guarantee(self, spec: Job, tasks: int) -> bool:
         """True if the team's use with these tasks stays within its guarantee."""
         team = self.teams.get(spec.team)
         if team is None or not (team.cpus or team.gpus):
@@ -42,7 +42,7 @@
             not team.gpus or gpus + spec.gpus * tasks <= team.gpus + SLACK
         )
 
-    def why_not(self, spec: Job) -> str:
+    def explain_refusal(self, spec: Job) -> str:
         """Why no more of the job may start, in its user's words."""
         team = self.teams[spec.team]
         if team.gpus_max and spec.gpus:
@@ -50,7 +50,9 @@
         return f"team at its limit of {team.cpus_max:g} CPUs"
 
 
-def limit_fits(team: Team | None, spec: Job, tasks: int, used: list[float] | None = None) -> bool:
+def fits_team_limit(
+    team: Team | None, spec: Job, tasks: int, used: list[float] | None = None
+) -> bool:
     """True if `tasks` tasks on top of `used` stay within the team's limit."""
     if team is None:
         return False
--- a/coursefold/coordination/requests.py
+++ b/coursefold/coordination/requests.py
@@ -15,8 +15,8 @@
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
 from coursefold.coordination.effects import Answer, Read, Vouch
-from coursefold.coordination.placement import fits_type
-from coursefold.coordination.quota import limit_fits
+from coursefold.coordination.placement import fits_machine_type
+from coursefold.coordination.quota import fits_team_limit
 from coursefold.coordination.whereabouts import away_reason
 from coursefold.protocol.ids import JobId, is_job_id
 from coursefold.protocol.wire import Job, MalformedError, decode_job
@@ -189,10 +189,10 @@
         catalog = self.view.catalog
         if spec.team not in teams:
             return f"unknown team {spec.team!r}"
-        kinds = [k for k in catalog.builds if fits_type(spec, k)] if catalog else []
+        kinds = [k for k in catalog.builds if fits_machine_type(spec, k)] if catalog else []
         if not kinds:
             return "a task fits no allowed machine type"
-        if not limit_fits(teams[spec.team], spec, 1 if spec.shape == "array" else spec.tasks):
+        if not fits_team_limit(teams[spec.team], spec, 1 if spec.shape == "array" else spec.tasks):
             return "needs more than the team's limit"
         return ""
 
--- a/coursefold/coordination/urgency.py
+++ b/coursefold/coordination/urgency.py
@@ -18,23 +18,23 @@
 LEAST_URGENT = max(RANKS.values())
 
 
-class Urgent(NamedTuple):
+class EffectivePriority(NamedTuple):
     """Priority (smaller is more important), and when the job has to be over, if at all."""
 
-    rank: int
-    due_at: float | None
+    priority: int
+    deadline_at: float | None
 
 
-class Urgency:
+class PriorityInheritance:
     """Found once for each job, until who needs whom changes or run times may have."""
 
     def __init__(self, ctx: Context, run: Callable[[Job], float]) -> None:
         self.ctx, self.run = ctx, run
-        self.known: dict[JobId, Urgent] = {}
+        self.known: dict[JobId, EffectivePriority] = {}
         self.version = -1
         self.at = -1e9
 
-    def of(self, name: JobId, job: JobRecord) -> Urgent:
+    def get_effective_priority(self, name: JobId, job: JobRecord) -> EffectivePriority:
         """Priority and latest end of a job, for the sake of those that need it too."""
         needs = self.ctx.view.needs
         if needs.version != self.version or self.ctx.now - self.at > FRESH_S:
@@ -44,19 +44,19 @@
             return self._own(job)
         return self._along(name)
 
-    def rank(self, name: JobId, job: JobRecord) -> int:
+    def get_priority(self, name: JobId, job: JobRecord) -> int:
         """Priority of a job, smaller is more important."""
-        return self.of(name, job).rank
+        return self.get_effective_priority(name, job).priority
 
-    def _own(self, job: JobRecord) -> Urgent:
+    def _own(self, job: JobRecord) -> EffectivePriority:
         due = job.spec.due
         rank = RANKS[job.spec.rank]
         if job.guest is not None and self.ctx.wall - job.guest.at < GUEST_PATIENCE_S:
             # A cell's own work goes first, but guests do not starve behind it.
             rank = LEAST_URGENT
-        return Urgent(rank, None if due is None else job.at + due)
+        return EffectivePriority(rank, None if due is None else job.at + due)
 
-    def _along(self, first: JobId) -> Urgent:
+    def _along(self, first: JobId) -> EffectivePriority:
         """Depth first without recursion: a chain may be as long as its user likes."""
         view = self.ctx.view
         stack = [first]
@@ -71,14 +71,18 @@
                 stack.extend(missing)
                 continue
             stack.pop()
-            urgent = self._own(view.jobs[name]) if name in view.jobs else Urgent(3, None)
+            urgent = self._own(view.jobs[name]) if name in view.jobs else EffectivePriority(3, None)
             for later in after:
-                rank, due_at = self.known[later]
-                if due_at is not None:
-                    due_at -= self._takes(view.jobs[later].spec)
-                if urgent.due_at is not None:
-                    due_at = urgent.due_at if due_at is None else min(due_at, urgent.due_at)
-                urgent = Urgent(min(rank, urgent.rank), due_at)
+                rank, deadline_at = self.known[later]
+                if deadline_at is not None:
+                    deadline_at -= self._takes(view.jobs[later].spec)
+                if urgent.deadline_at is not None:
+                    deadline_at = (
+                        urgent.deadline_at
+                        if deadline_at is None
+                        else min(deadline_at, urgent.deadline_at)
+                    )
+                urgent = EffectivePriority(min(rank, urgent.priority), deadline_at)
             self.known[name] = urgent
         return self.known[first]
 
--- a/coursefold/coordination/waiting.py
+++ b/coursefold/coordination/waiting.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 
 from coursefold.coordination.context import Context
-from coursefold.coordination.ordering import LONG_S, Order, Ordering
-from coursefold.coordination.quota import Quota, limit_fits
-from coursefold.coordination.urgency import Urgency
+from coursefold.coordination.ordering import LONG_WAIT_S, Order, QueueOrder
+from coursefold.coordination.quota import QuotaTracker, fits_team_limit
+from coursefold.coordination.urgency import PriorityInheritance
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 from coursefold.storage.records import JobRecord
@@ -14,35 +14,35 @@
 PAUSE_S = 20.0
 
 
-class Waiting:
+class QueuedJob:
     """A job with tasks to deal, in queue order."""
 
-    __slots__ = ("age", "job", "name", "order", "rank", "slack", "within")
+    __slots__ = ("age_s", "is_within_guarantee", "job", "name", "priority", "slack_s", "sort_key")
 
     def __init__(
         self, name: JobId, job: JobRecord, within: bool, order: Order, rank: int, age: float
     ) -> None:
-        self.name, self.job, self.within, self.order = name, job, within, order
-        self.rank, self.age = rank, age
-        self.slack = order.slack
+        self.name, self.job, self.is_within_guarantee, self.sort_key = name, job, within, order
+        self.priority, self.age_s = rank, age
+        self.slack_s = order.slack
 
 
-def merged(found: list[Waiting]) -> list[Waiting]:
+def merged(found: list[QueuedJob]) -> list[QueuedJob]:
     """Gangs, the small ones first, merged with all other work by everything but size.
 
     Seen on real processes: size compared with arrays too, so that every new array
     went before an older gang of three.
     """
     gangs_first = sorted(
-        (w for w in found if w.job.spec.shape == "ensemble"), key=lambda w: w.order, reverse=True
+        (w for w in found if w.job.spec.shape == "ensemble"), key=lambda w: w.sort_key, reverse=True
     )
     others = sorted(
-        (w for w in found if w.job.spec.shape != "ensemble"), key=lambda w: w.order, reverse=True
+        (w for w in found if w.job.spec.shape != "ensemble"), key=lambda w: w.sort_key, reverse=True
     )
-    queue: list[Waiting] = []
+    queue: list[QueuedJob] = []
     while gangs_first and others:
-        gang = gangs_first[-1].order._replace(size=0)
-        queue.append((gangs_first if gang < others[-1].order else others).pop())
+        gang = gangs_first[-1].sort_key._replace(size=0)
+        queue.append((gangs_first if gang < others[-1].sort_key else others).pop())
     return queue + gangs_first[::-1] + others[::-1]
 
 
@@ -51,11 +51,11 @@
 
     def __init__(self, ctx: Context, mean_run: Callable[[Job], float]) -> None:
         self.ctx, self.mean_run = ctx, mean_run
-        self.ordering = Ordering(ctx.settings.params.objectives)
-        self.urgency = Urgency(ctx, mean_run)
+        self.ordering = QueueOrder(ctx.settings.params.objectives)
+        self.priority_inheritance = PriorityInheritance(ctx, mean_run)
         self.first: JobId | None = None  # the gang that room is gathered for
 
-    def queue(self, quota: Quota, reasons: dict[JobId, str]) -> list[Waiting]:
+    def list_queued_jobs(self, quota: QuotaTracker, reasons: dict[JobId, str]) -> list[QueuedJob]:
         """Jobs that could start something now; why the others could not is added to `reasons`."""
         ctx = self.ctx
         found = []
@@ -68,10 +68,10 @@
                 reasons[name] = "its home cell's grant has ended"
                 continue
             tasks = job.spec.tasks if job.spec.shape != "array" else 1
-            within = quota.within_guarantee(job.spec, tasks)
+            within = quota.is_within_guarantee(job.spec, tasks)
             run = self.mean_run(job.spec)
             since = ctx.view.since(name, job)
-            rank, due_at = self.urgency.of(name, job)
+            rank, due_at = self.priority_inheritance.get_effective_priority(name, job)
             order = self.ordering.key(
                 job.spec,
                 name,
@@ -83,7 +83,7 @@
                 rank,
                 None if due_at is None else due_at - since,
             )
-            found.append(Waiting(name, job, within, order, rank, ctx.wall - since))
+            found.append(QueuedJob(name, job, within, order, rank, ctx.wall - since))
         return merged(found)
 
     def _longest(self) -> JobId | None:
@@ -94,9 +94,9 @@
             if job.spec.shape == "ensemble" and job.retry_at <= self.ctx.wall
         ]
         at, name = min(waits, default=(self.ctx.wall, None))
-        return name if self.ctx.wall - at > LONG_S else None
+        return name if self.ctx.wall - at > LONG_WAIT_S else None
 
-    def keeps_quota(self, wait: Waiting) -> bool:
+    def reserves_quota(self, wait: QueuedJob) -> bool:
         """Is the rest of its team's limit kept for this gang, which has waited longest?
 
         Only while that can help: replicas end when their user says so, and what they take
@@ -104,7 +104,7 @@
         otherwise wait beside free machines and under their limit.
         """
         spec = wait.job.spec
-        if wait.name != self.first or (wait.age - LONG_S) % (KEEP_S + PAUSE_S) >= KEEP_S:
+        if wait.name != self.first or (wait.age_s - LONG_WAIT_S) % (KEEP_S + PAUSE_S) >= KEEP_S:
             return False
         lasting = [0.0, 0.0]
         for job in self.ctx.view.jobs.values():
@@ -112,4 +112,4 @@
                 lasting[0] += job.spec.cpus * len(job.entries)
                 lasting[1] += job.spec.gpus * len(job.entries)
         team = next((t for t in self.ctx.settings.params.teams if t.name == spec.team), None)
-        return limit_fits(team, spec, spec.tasks, lasting)
+        return fits_team_limit(team, spec, spec.tasks, lasting)
--- a/coursefold/shares/port.py
+++ b/coursefold/shares/port.py
@@ -6,7 +6,7 @@
 from coursefold.coordination.context import DRIFT, Machine, PeerMachine, PeerView
 from coursefold.coordination.core import Core
 from coursefold.coordination.effects import Answer
-from coursefold.coordination.placement import Room, allowed
+from coursefold.coordination.placement import MachineCapacity, may_run_on
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 from coursefold.storage import records
@@ -109,7 +109,7 @@
             owner = ctx.owner(name, rented.zone) or ""
             row = self._row(name, owner)
             obstacle = self._obstacle(row) if row is not None else "its owner does not show it"
-            if not obstacle and name in self.core.leader.wanted:
+            if not obstacle and name in self.core.leader.requested_machines:
                 obstacle = "it is kept free for a gang or a return"
             tasks = self._ending_tasks(name)
             shown = row is not None
@@ -187,7 +187,7 @@
         core, wall = self.core, self.ctx.wall
         waiting = [
             self.view.jobs[name].spec
-            for name in core.leader.short
+            for name in core.leader.jobs_without_capacity
             if name in self.view.jobs
             and wall - self.view.since(name, self.view.jobs[name]) > LONGEST_WAIT_S
         ]
@@ -195,7 +195,11 @@
             return set()
         moving = set(machines)
         rooms = [room for room in self.ctx.rooms() if room.id in moving]
-        return {r.id for r in rooms if any(allowed(spec, r) and r.holds(spec) for spec in waiting)}
+        return {
+            r.id
+            for r in rooms
+            if any(may_run_on(spec, r) and r.fits_task(spec) for spec in waiting)
+        }
 
     # One machine of ours
 
@@ -243,17 +247,21 @@
         spec = job.spec
         return spec.shape == "array" and spec.checkpoint > 0 and entry.stage == PLACED
 
-    def rooms(self) -> list[Room]:
+    def rooms(self) -> list[MachineCapacity]:
         """Free room on all machines that take tasks."""
-        return [room for room in self.ctx.rooms() if not (room.draining or room.lent)]
+        return [
+            room
+            for room in self.ctx.rooms()
+            if not (room.is_unschedulable or room.reserved_for_gang)
+        ]
 
     @staticmethod
-    def take_room(spec: Job, rooms: Iterable[Room]) -> bool:
+    def take_room(spec: Job, rooms: Iterable[MachineCapacity]) -> bool:
         """Is there room for a task of the job? Then it counts as taken."""
-        room = next((r for r in rooms if allowed(spec, r) and r.holds(spec)), None)
+        room = next((r for r in rooms if may_run_on(spec, r) and r.fits_task(spec)), None)
         if room is None:
             return False
-        room.take(spec)
+        room.reserve(spec)
         return True
 
     def save_and_stop(self, job: JobId, entry: Entry) -> bool:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -88,7 +88,7 @@
     assert answer.status == 201
     world.run(6.0)
     (job,) = world.core.view.jobs.values()
-    most = world.core.leader.most_entries()
+    most = world.core.leader.max_entries()
     assert 0 < len(job.entries) <= most < 1000
 
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -310,7 +310,7 @@
         assert node is not None
         waiting = list(node.core.view.waiting)
         assert waiting
-        assert all(node.core.leader.reasons.get(name) for name in waiting)
+        assert all(node.core.leader.waiting_reasons.get(name) for name in waiting)
         for record in fleet.records().values():
             assert record.guest is None or record.away is None  # no guest is passed on
     epochs = [
--- a/tests/test_cells_input.py
+++ b/tests/test_cells_input.py
@@ -616,9 +616,9 @@
 def test_a_guest_is_dealt_only_under_a_grant(held_s: float, waits: bool) -> None:
     cells = guest_world(GuestStage.GRANTED, held_s)
     leader = cells.core.leader
-    names = [wait.name for wait in leader.queue(cells.port.quota())]
+    names = [wait.name for wait in leader.list_queued_jobs(cells.port.quota())]
     assert (NAME in names) is waits
-    assert ("grant has ended" in leader.reasons.get(NAME, "")) is not waits
+    assert ("grant has ended" in leader.waiting_reasons.get(NAME, "")) is not waits
 
 
 @pytest.mark.parametrize("patient_s", [0.0, 130.0])
@@ -630,7 +630,7 @@
     view.keep(records.job_key(NAME), urgent, 10**6 + 1)
     own = JobId("job-2")
     view.keep(records.job_key(own), JobRecord(spec(NameId=own), ctx.wall), 10**6 + 1)
-    order = [wait.name for wait in cells.core.leader.queue(cells.port.quota())]
+    order = [wait.name for wait in cells.core.leader.list_queued_jobs(cells.port.quota())]
     assert order == ([own, NAME] if patient_s == 0.0 else [NAME, own])
 
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -8,9 +8,14 @@
 from coursefold.coordination import jobs
 from coursefold.coordination.demand import PoolDemand
 from coursefold.coordination.effects import CloudCall
-from coursefold.coordination.gangs import Floor
-from coursefold.coordination.ordering import LONG_S, Ordering
-from coursefold.coordination.placement import Market, Picker, Place, Room
+from coursefold.coordination.gangs import GangCandidates
+from coursefold.coordination.ordering import LONG_WAIT_S, QueueOrder
+from coursefold.coordination.placement import (
+    MachineCapacity,
+    MachineOffering,
+    PlacementSearch,
+    PriceIndex,
+)
 from coursefold.coordination.queueing import optimum
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Catalog, Job, decode, encode
@@ -52,21 +57,21 @@
     world.submit("job-3", **red)
     world.run(world.now + 1.0)
     assert world.core.view.jobs[JobId("job-3")].entries
-    world.run(LONG_S + 5.0)
+    world.run(LONG_WAIT_S + 5.0)
     for number in range(4):
         for at in (3, 4):
             world.report(f"i-{number}", [], Counter=at)
     world.submit("job-4", **red)
     world.run(world.now + 1.0)
     assert not world.core.view.jobs[JobId("job-4")].entries
-    assert "limit of 8 GPUs" in world.core.leader.reasons[JobId("job-4")]
+    assert "limit of 8 GPUs" in world.core.leader.waiting_reasons[JobId("job-4")]
 
 
 def test_one_gang_at_a_time_goes_before_smaller_ones() -> None:
-    order = Ordering([])
+    order = QueueOrder([])
     large = job(Shape="ensemble", Pieces=32)
     small = job(Shape="ensemble", Pieces=2)
-    late = LONG_S + 1.0
+    late = LONG_WAIT_S + 1.0
     chosen = order.key(large, "job-1", late, 60.0, False, first=True)
     other = order.key(large, "job-2", late, 60.0, False)
     fresh = order.key(small, "job-3", 1.0, 60.0, False)
@@ -93,19 +98,26 @@
     """One array task takes a small machine whole; a gang's task fits both types alike."""
     array = job(Lane="array", Vcpus=10.0, MemoryGb=54.0)
     gang = job(Lane="gang", Vcpus=7.0, MemoryGb=26.0)
-    market = Market([SMALL, LARGE], [array, gang])
-    rooms = [Room("i-1", SMALL, "a", False, "n0", 1), Room("i-2", LARGE, "a", False, "n0", 1)]
+    market = PriceIndex([SMALL, LARGE], [array, gang])
+    rooms = [
+        MachineCapacity("i-1", SMALL, "a", False, "n0", 1),
+        MachineCapacity("i-2", LARGE, "a", False, "n0", 1),
+    ]
     for room in rooms:
-        room.images = {"img"}
+        room.cached_images = {"img"}
 
-    def first(spec: Job, known: Market) -> str | None:
-        found = Picker(spec, rooms, market=known).best()
-        return found.kind.name if found else None
+    def first(spec: Job, known: PriceIndex) -> str | None:
+        found = PlacementSearch(spec, rooms, price_index=known).find_best()
+        return found.type_info.name if found else None
 
     assert first(array, market) == "g8"
     assert first(gang, market) == "g2"
-    assert market.displaced(gang, LARGE) > 0 == market.displaced(array, LARGE)
-    assert market.best(job(Lane="gang")) == "g2"
+    assert (
+        market.estimate_displacement_cost(gang, LARGE)
+        > 0
+        == market.estimate_displacement_cost(array, LARGE)
+    )
+    assert market.find_preferred_type(job(Lane="gang")) == "g2"
 
 
 def test_arrivals_in_lumps_make_a_larger_pool() -> None:
@@ -119,14 +131,14 @@
     leader, ctx = world.core.leader, world.core.ctx
     array = job(Lane="array", Vcpus=10.0, MemoryGb=54.0)
     replica = job(Lane="web", Shape="standing", Vcpus=5.0, MemoryGb=19.0)
-    ctx._market, ctx._market_at = Market([SMALL, LARGE], [array, replica]), ctx.now
-    leader.booting, leader.up = [Place("g2", "a", False)], {"g8"}
-    assert leader._soon(replica)
-    assert not leader._soon(array)
-    leader.up = {"g2", "g8"}
-    assert not leader._soon(replica)
-    leader.booting, leader.up = [], {"g8"}
-    assert not leader._soon(replica)
+    ctx._market, ctx._market_at = PriceIndex([SMALL, LARGE], [array, replica]), ctx.now
+    leader.booting_offerings, leader.available_types = [MachineOffering("g2", "a", False)], {"g8"}
+    assert leader._should_wait_for_type(replica)
+    assert not leader._should_wait_for_type(array)
+    leader.available_types = {"g2", "g8"}
+    assert not leader._should_wait_for_type(replica)
+    leader.booting_offerings, leader.available_types = [], {"g8"}
+    assert not leader._should_wait_for_type(replica)
 
 
 def test_a_page_of_the_list_that_was_refused_is_asked_for_again() -> None:
@@ -164,19 +176,21 @@
 def test_what_gangs_have_in_common_is_found_once_and_rightly() -> None:
     """Rooms kept for one gang are not offered to the next; the emptiest zone is kept."""
     spec = job(Shape="ensemble", Pieces=2, Vcpus=16.0, Accelerators=2.0, Together=True)
-    rooms = [Room(f"i-{n}", SMALL, "a" if n < 3 else "b", False, "n0", 1) for n in range(6)]
-    rooms[0].take(job(Vcpus=8.0))
-    floor = Floor(rooms)
-    assert len(floor.holding(spec)) == 5
-    kept = floor.reserve(spec)
+    rooms = [
+        MachineCapacity(f"i-{n}", SMALL, "a" if n < 3 else "b", False, "n0", 1) for n in range(6)
+    ]
+    rooms[0].reserve(job(Vcpus=8.0))
+    floor = GangCandidates(rooms)
+    assert len(floor.find_fitting(spec)) == 5
+    kept = floor.find_to_earmark(spec)
     assert {r.zone for r in kept} == {"a"}
     assert rooms[0] not in kept
     for room in kept:
-        room.draining = True
-    rooms[4].draining = True  # in the middle of its zone's order
-    assert {r.id for r in floor.reserve(spec)} == {"i-3", "i-5"}
-    assert len(floor.holding(spec)) == 2
-    assert not Floor([]).reserve(spec)
+        room.is_unschedulable = True
+    rooms[4].is_unschedulable = True  # in the middle of its zone's order
+    assert {r.id for r in floor.find_to_earmark(spec)} == {"i-3", "i-5"}
+    assert len(floor.find_fitting(spec)) == 2
+    assert not GangCandidates([]).find_to_earmark(spec)
 
 
 @pytest.mark.parametrize(("silent", "waits"), [(8, True), (2, False)])
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -8,7 +8,12 @@
 from coursefold.coordination import core, requests, summary
 from coursefold.coordination import jobs as edits
 from coursefold.coordination.demand import Need, Planner, PoolId, Runs
-from coursefold.coordination.placement import Market, Picker, Refused, Room
+from coursefold.coordination.placement import (
+    FailedSearches,
+    MachineCapacity,
+    PlacementSearch,
+    PriceIndex,
+)
 from coursefold.coordination.requests import Purpose, Question
 from coursefold.protocol.ids import JobId, Moment, WallTime
 from coursefold.protocol.wire import Catalog, Job, MachineType, decode, encode
@@ -279,18 +284,22 @@
     for _ in range(2):
         view, job = world.core.view, world.core.view.jobs[JobId("job-2")]
         assert view.since(JobId("job-2"), job) == EPOCH + 55.0
-        (found,) = [w for w in world.core.leader.queue(quota(world)) if w.name == "job-2"]
-        assert found.age == pytest.approx(world.now - 55.0, abs=1.0)
-        due_at = world.core.leader.waiting.urgency.of(JobId("job-2"), job).due_at
+        (found,) = [
+            w for w in world.core.leader.list_queued_jobs(quota(world)) if w.name == "job-2"
+        ]
+        assert found.age_s == pytest.approx(world.now - 55.0, abs=1.0)
+        due_at = world.core.leader.waiting_queue.priority_inheritance.get_effective_priority(
+            JobId("job-2"), job
+        ).deadline_at
         assert due_at == pytest.approx(job.at + 900.0)
         world.restart()
         world.run(world.now + 3.0)
 
 
 def quota(world: World) -> Any:
-    from coursefold.coordination.quota import Quota
+    from coursefold.coordination.quota import QuotaTracker
 
-    return Quota(world.core.ctx.settings.params.teams, world.core.view.usage)
+    return QuotaTracker(world.core.ctx.settings.params.teams, world.core.view.usage)
 
 
 def test_a_job_is_as_urgent_as_those_that_need_it() -> None:
@@ -299,14 +308,17 @@
     accepted(world, "job-1", Rank="idle")
     accepted(world, "job-2", "job-1", Rank="idle", ExpectedS=30.0)
     accepted(world, "job-3", "job-2", Rank="urgent", DueS=200.0, ExpectedS=20.0)
-    urgency, jobs = world.core.leader.waiting.urgency, world.core.view.jobs
-    found = [urgency.of(JobId(n), jobs[JobId(n)]) for n in ("job-1", "job-2", "job-3")]
-    assert [u.rank for u in found] == [1, 1, 1]
-    ends = [u.due_at or 0.0 for u in found]
+    urgency, jobs = world.core.leader.waiting_queue.priority_inheritance, world.core.view.jobs
+    found = [
+        urgency.get_effective_priority(JobId(n), jobs[JobId(n)])
+        for n in ("job-1", "job-2", "job-3")
+    ]
+    assert [u.priority for u in found] == [1, 1, 1]
+    ends = [u.deadline_at or 0.0 for u in found]
     assert ends[1] < ends[2] - 20.0
     assert ends[0] < ends[1] - 30.0
     world.cancel("job-3")
-    assert urgency.of(JobId("job-1"), jobs[JobId("job-1")]).rank == 3
+    assert urgency.get_effective_priority(JobId("job-1"), jobs[JobId("job-1")]).priority == 3
 
 
 # What is cancelled with what
@@ -435,20 +447,20 @@
     tight = msgspec.structs.replace(BUSY, cpus=9.0)  # beside it, another of 6 CPUs fits
     wide = msgspec.structs.replace(BUSY, cpus=2.0, gpus=2.0)
     rooms = [
-        Room("i-empty", KIND, "a", False, "n0", 1),
-        Room("i-half", KIND, "a", False, "n0", 1, Load([tight])),
-        Room("i-full", KIND, "a", False, "n0", 1, Load([wide])),
+        MachineCapacity("i-empty", KIND, "a", False, "n0", 1),
+        MachineCapacity("i-half", KIND, "a", False, "n0", 1, Load([tight])),
+        MachineCapacity("i-full", KIND, "a", False, "n0", 1, Load([wide])),
     ]
     other = msgspec.structs.replace(BUSY, cpus=6.0)
     small = msgspec.structs.replace(SMALL, cpus=2.0)
-    picker = Picker(small, rooms, market=Market([KIND], [other]))
-    found = [room.id for _ in range(18) if (room := picker.take()) is not None]
+    picker = PlacementSearch(small, rooms, price_index=PriceIndex([KIND], [other]))
+    found = [room.id for _ in range(18) if (room := picker.reserve_best()) is not None]
     # Two tasks of 6 CPUs fit the empty machine beside 4 CPUs of small work, and no more.
     assert found == ["i-full"] * 7 + ["i-empty"] * 2 + ["i-half"] * 3 + ["i-empty"] * 6
 
 
 def test_small_work_stops_nothing_that_has_an_accelerator() -> None:
-    may = core.Core(World().core.ctx.settings).leader.preemption.may
+    may = core.Core(World().core.ctx.settings).leader.preemption.may_stop
     victim = JobRecord(msgspec.structs.replace(BUSY, rank="idle"), 0.0)
     for spec, allowed in ((SMALL, False), (BUSY, True)):
         urgent = msgspec.structs.replace(spec, rank="urgent")
@@ -456,7 +468,7 @@
 
 
 def test_small_work_neither_sizes_a_fleet_nor_keeps_it() -> None:
-    planner = Planner(Catalog([KIND]), Runs(), 0.0, {}, {}, 60.0, Market([KIND], [BUSY]))
+    planner = Planner(Catalog([KIND]), Runs(), 0.0, {}, {}, 60.0, PriceIndex([KIND], [BUSY]))
     planner.arrived(SMALL, 100)
     planner.running(SMALL, PoolId("g2", False))
     demand = planner.pools[PoolId("g2", False)]
@@ -477,15 +489,15 @@
         self.world.submit("job-2", Vcpus=2.0, Accelerators=0.0, MemoryGb=1.0, Pieces=3)
         self.world.run(1.0)
         self.leader = self.world.core.leader
-        self.world.core.ctx.market().accelerated = [msgspec.structs.replace(BUSY, cpus=15.0)]
-        room = Room("i-1", KIND, "a", False, "n9", 1)
-        room.reserved = room.draining = reserved
-        (small,) = [w for w in self.leader.queue(quota(self.world)) if w.name == "job-2"]
-        small.age = age
-        self.leader.short.add(JobId("job-1"))
-        self.leader.refused = Refused()
-        self.leader._deal_small([small], [room], quota(self.world))
-        self.dealt = len(self.leader.flying.get(JobId("job-2"), ()))
+        self.world.core.ctx.market().accelerator_jobs = [msgspec.structs.replace(BUSY, cpus=15.0)]
+        room = MachineCapacity("i-1", KIND, "a", False, "n9", 1)
+        room.earmarked_for_gang = room.is_unschedulable = reserved
+        (small,) = [w for w in self.leader.list_queued_jobs(quota(self.world)) if w.name == "job-2"]
+        small.age_s = age
+        self.leader.jobs_without_capacity.add(JobId("job-1"))
+        self.leader.failed_searches = FailedSearches()
+        self.leader._assign_small([small], [room], quota(self.world))
+        self.dealt = len(self.leader.in_flight.get(JobId("job-2"), ()))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -379,7 +379,7 @@
         fleet.run(fleet.now + 0.2)
         still = draining & set(fleet.under_way())
         rooms = {room.id: room for room in fleet.led().enter().ctx.rooms()}
-        assert all(rooms[machine].draining for machine in still & set(rooms))
+        assert all(rooms[machine].is_unschedulable for machine in still & set(rooms))
         there = {name for name, (worker, _) in fleet.on.items() if worker.id in still}
         assert there <= before
     assert any(fleet.jobs[name].first_start > 0 for name in names[24:])
--- a/tests/test_shares_guards.py
+++ b/tests/test_shares_guards.py
@@ -251,7 +251,7 @@
 def counted(world: Pair) -> tuple[bool, bool]:
     """Does the sizing loop count the machine's room, and as one that is to go?"""
     rooms = {room.id: room for room in world.core.fleet.pools.all_rooms()}
-    return MACHINE in rooms, MACHINE in rooms and rooms[MACHINE].draining
+    return MACHINE in rooms, MACHINE in rooms and rooms[MACHINE].is_unschedulable
 
 
 @pytest.mark.parametrize("how", ["sick", "silent", "recalled", "kept for a gang"])
@@ -267,7 +267,7 @@
     elif how == "recalled":
         world.says([world.task()], RecallS=30.0)
     else:
-        world.core.leader.wanted[MACHINE] = world.core.ctx.now + 9.0
+        world.core.leader.requested_machines[MACHINE] = world.core.ctx.now + 9.0
     states = world.shares.port.machines()
     assert all(state.obstacle for state in states)
     transfer = Transfer("n0", "n1", 1)
