--- a/coursefold/coordination/demand.py
+++ b/coursefold/coordination/demand.py
@@ -11,14 +11,14 @@
 
 from coursefold.coordination import gangs
 from coursefold.coordination.placement import (
-    NO_MARKET,
-    Market,
-    Picker,
-    Place,
-    Refused,
-    Room,
-    fits_type,
-    share,
+    EMPTY_PRICE_INDEX,
+    FailedSearches,
+    MachineCapacity,
+    MachineOffering,
+    PlacementSearch,
+    PriceIndex,
+    compute_machine_share,
+    fits_machine_type,
 )
 from coursefold.coordination.queueing import find_optimal_servers
 from coursefold.protocol.wire import Catalog, Job, MachineType
@@ -47,7 +47,7 @@
 
 def slots_of_task(spec: Job, kind: MachineType) -> float:
     """Slots that a task takes."""
-    return share(spec, kind) * slots_of_machine(kind)
+    return compute_machine_share(spec, kind) * slots_of_machine(kind)
 
 
 class RunTimes:
@@ -173,7 +173,7 @@
     fetch = spec.image_gb / kind.fetch if kind.fetch else 0.0
     lost = loss * (min(spec.checkpoint, run) if spec.checkpoint else run)
     overhead = 1.0 + (fetch + 0.3 * kind.boot) / max(run, 10.0) + lost
-    return hourly * share(spec, kind) * overhead
+    return hourly * compute_machine_share(spec, kind) * overhead
 
 
 class DemandPlanner:
@@ -184,13 +184,13 @@
         catalog: Catalog,
         runs: RunTimes,
         now: float,
-        blocked: dict[Place, float],
+        blocked: dict[MachineOffering, float],
         losses: dict[PoolId, float],
         window: float,
-        market: Market = NO_MARKET,
+        market: PriceIndex = EMPTY_PRICE_INDEX,
     ) -> None:
         self.window_s, self.market = window, market
-        self.refused = Refused()
+        self.refused = FailedSearches()
         self.catalog, self.run_times, self.now = catalog, runs, now
         self.blocked_until, self.loss_rates = blocked, losses
         self.pools = {
@@ -205,17 +205,19 @@
         It fills what they leave over, so it neither counts as use of the machine nor asks
         for more of them, but for what finds no room at all.
         """
-        return not spec.gpus and kind.gpus > 0 and bool(self.market.accelerated)
+        return not spec.gpus and kind.gpus > 0 and bool(self.market.accelerator_jobs)
 
     def eligible_pools(self, spec: Job) -> list[PoolId]:
         """Pools that the job allows, cheapest first."""
         run = self.run_times.mean_run_s(spec, self.now) if spec.shape != "standing" else 600.0
         found = []
         for pool, demand in self.pools.items():
-            if fits_type(spec, demand.type_info) and (spec.spot or not pool.spot):
+            if fits_machine_type(spec, demand.type_info) and (spec.spot or not pool.spot):
                 loss = self.loss_rates.get(pool, 0.0)
                 price = effective_price(spec, demand.type_info, pool.spot, run, loss)
-                found.append((price + self.market.displaced(spec, demand.type_info), pool))
+                found.append(
+                    (price + self.market.estimate_displacement_cost(spec, demand.type_info), pool)
+                )
         return [pool for _, pool in sorted(found)]
 
     def open_zones(self, pool: PoolId, spec: Job) -> list[str]:
@@ -224,7 +226,8 @@
         return [
             z
             for z in zones
-            if self.blocked_until.get(Place(pool.machine_type, z, pool.spot), 0.0) <= self.now
+            if self.blocked_until.get(MachineOffering(pool.machine_type, z, pool.spot), 0.0)
+            <= self.now
         ]
 
     def count_arrival(self, spec: Job, tasks: int) -> None:
@@ -265,9 +268,9 @@
             demand.batch_slots += w
             demand.batch_slot_s += w * self.run_times.mean_run_s(spec, self.now)
 
-    def pack_waiting(self, needs: Iterable[UnplacedTasks], rooms: list[Room]) -> None:
+    def pack_waiting(self, needs: Iterable[UnplacedTasks], rooms: list[MachineCapacity]) -> None:
         """Waiting tasks take the free and the booting room first; the rest asks for more."""
-        floor = gangs.Floor(r for r in rooms if not r.lent)
+        floor = gangs.GangCandidates(r for r in rooms if not r.reserved_for_gang)
         for need in needs:
             spec = need.spec
             if spec.shape == "ensemble" and need.task_count > 1:
@@ -277,10 +280,10 @@
             picker = (
                 None
                 if self.refused.covers(spec)
-                else Picker(spec, rooms, zones, market=self.market)
+                else PlacementSearch(spec, rooms, zones, price_index=self.market)
             )
             for done in range(need.task_count):
-                room = picker.take() if picker else None
+                room = picker.reserve_best() if picker else None
                 if room is None:
                     if not (spec.apart or spec.together):
                         self.refused.add(spec)
@@ -289,7 +292,7 @@
                     if left > 0:
                         self._grow(need, left, zones)
                     break
-                self._queue(spec, PoolId(room.kind.name, room.spot))
+                self._queue(spec, PoolId(room.type_info.name, room.spot))
 
     def _relieved(self, need: UnplacedTasks, tasks: int) -> int:
         """Waiting tasks that busy slots will have room for in time anyway.
@@ -322,20 +325,20 @@
         if spec.shape == "standing":
             demand.standing_slots += w
 
-    def _pack_gang(self, need: UnplacedTasks, floor: gangs.Floor) -> None:
-        rooms = floor.holding(need.spec)
-        plan = gangs.fill(need.spec, rooms, self.market)
+    def _pack_gang(self, need: UnplacedTasks, floor: gangs.GangCandidates) -> None:
+        rooms = floor.find_fitting(need.spec)
+        plan = gangs.find_gang_placement(need.spec, rooms, self.market)
         if plan is not None:
             for room in plan:
-                room.take(need.spec)
-                self._queue(need.spec, PoolId(room.kind.name, room.spot))
+                room.reserve(need.spec)
+                self._queue(need.spec, PoolId(room.type_info.name, room.spot))
             return
         for pool in self.eligible_pools(need.spec):
             open_zones = self.open_zones(pool, need.spec)
             if not open_zones:
                 continue
             have = {
-                z: sum(1 for r in rooms if r.zone == z and (r.kind.name, r.spot) == pool)
+                z: sum(1 for r in rooms if r.zone == z and (r.type_info.name, r.spot) == pool)
                 for z in open_zones
             }
             zone = max(open_zones, key=lambda z: (have[z], z))
@@ -347,8 +350,8 @@
                 if not kept:
                     break
                 if room.zone == zone:
-                    room.take(need.spec)
-                    self._queue(need.spec, PoolId(room.kind.name, room.spot))
+                    room.reserve(need.spec)
+                    self._queue(need.spec, PoolId(room.type_info.name, room.spot))
                     kept -= 1
             short = need.task_count - min(have[zone], need.task_count)
             demand.gang_slots += short * w
--- a/coursefold/coordination/pools.py
+++ b/coursefold/coordination/pools.py
@@ -20,10 +20,10 @@
 from coursefold.coordination.leader import Leader
 from coursefold.coordination.loss_tracker import LossTracker
 from coursefold.coordination.pid import Gains, compute_pid
-from coursefold.coordination.placement import Place, Room
-from coursefold.coordination.quota import Quota
+from coursefold.coordination.placement import MachineCapacity, MachineOffering
+from coursefold.coordination.quota import QuotaTracker
 from coursefold.coordination.rentals import RentalManager, parse_pool_key
-from coursefold.coordination.waiting import Waiting
+from coursefold.coordination.waiting import QueuedJob
 from coursefold.policy import Adjustment
 from coursefold.policy.model import Env
 from coursefold.protocol.wire import Catalog, Job
@@ -52,7 +52,7 @@
     def reset(self) -> None:
         """Begin anew, as a new leader does; the integral starts at zero."""
         self.pid_states: dict[PoolId, tuple[float, float]] = {}
-        self.run_times = self.leader.runs = RunTimes()
+        self.run_times = self.leader.run_times = RunTimes()
         self.recent_arrivals: dict[str, tuple[float, Job]] = {}
         self.active_rules: dict[PoolId, tuple[str, ...]] = {}
         self.demands: dict[PoolId, PoolDemand] = {}  # of the last step
@@ -113,27 +113,27 @@
     def _needs(self) -> list[UnplacedTasks]:
         """Tasks that wait, in queue order and within their teams' limits."""
         ctx = self.ctx
-        quota = Quota(ctx.settings.params.teams, ctx.view.usage)
+        quota = QuotaTracker(ctx.settings.params.teams, ctx.view.usage)
         needs: list[UnplacedTasks] = []
-        for wait in self.leader.queue(quota):
+        for wait in self.leader.list_queued_jobs(quota):
             count = self._within_limits(wait, quota)
             if count <= 0:
                 continue
-            quota.take(wait.job.spec, count)
+            quota.add_usage(wait.job.spec, count)
             zones: dict[str, int] = {}
             for entry in wait.job.entries:
                 zones[entry.zone] = zones.get(entry.zone, 0) + 1
-            needs.append(UnplacedTasks(wait.job.spec, count, zones, wait.slack, wait.age))
+            needs.append(UnplacedTasks(wait.job.spec, count, zones, wait.slack_s, wait.age_s))
         return needs
 
-    def _within_limits(self, wait: Waiting, quota: Quota) -> int:
+    def _within_limits(self, wait: QueuedJob, quota: QuotaTracker) -> int:
         """How many of a job's waiting tasks its record and its team's limit have room for."""
         spec = wait.job.spec
-        count = min(wait.job.waiting_count, self.leader.most_entries())
+        count = min(wait.job.waiting_count, self.leader.max_entries())
         # What its team's limit is kept for needs its machines once the limit has room.
-        if self.leader.keeps_quota(wait):
+        if self.leader.reserves_quota(wait):
             return count
-        while count > 0 and not quota.fits(spec, count):
+        while count > 0 and not quota.fits_limit(spec, count):
             count = count - 1 if spec.shape == "array" else 0
         return count
 
@@ -144,7 +144,7 @@
                 for spec in self.ctx.view.load(name).specs:
                     planner.count_running(spec, machine.pool)
 
-    def current_and_booting_capacity(self) -> list[Room]:
+    def current_and_booting_capacity(self) -> list[MachineCapacity]:
         """Free room now, and the machines that are about to be up."""
         ctx = self.ctx
         inventory = self.inventory
@@ -157,12 +157,12 @@
             if machine.is_up and not inventory.is_recently_handed_over(machine):
                 continue
             if kind and not inventory.is_boot_overdue(machine):
-                rooms.append(Room(machine.id, kind, machine.zone, machine.spot, "", 0))
+                rooms.append(MachineCapacity(machine.id, kind, machine.zone, machine.spot, "", 0))
         for room in rooms:
-            if room.lent and room.id in self.leader.wanted:
-                room.lent = False
+            if room.reserved_for_gang and room.id in self.leader.requested_machines:
+                room.reserved_for_gang = False
             if ctx.ownership.move(room.id) is not None:
-                room.draining = False  # it stays ours: a move rents nothing
+                room.is_unschedulable = False  # it stays ours: a move rents nothing
         return rooms
 
     # The loop of one pool
@@ -172,7 +172,7 @@
         target = demand.target_slots(self.parameters.eta)
         size = demand.machine_count * demand.slots_per_machine
         booting = (pool.machine_type, pool.spot) in {
-            (b, spot) for b, _, spot in self.leader.booting
+            (b, spot) for b, _, spot in self.leader.booting_offerings
         }
         error = target - size
         last, integral = self.pid_states.get(pool, (0.0, 0.0))
@@ -222,7 +222,7 @@
         waits = [
             ctx.now - room.idle_since
             for room in ctx.rooms()
-            if (room.kind.name, room.spot) == pool and room.tasks == 0
+            if (room.type_info.name, room.spot) == pool and room.task_count == 0
         ]
         env: Env = {
             "lambda": demand.arrived_slots / demand.window_s,
@@ -251,7 +251,7 @@
         zones = [
             zone
             for zone in demand.type_info.zones
-            if not self.rentals.is_blocked(Place(pool.machine_type, zone, pool.spot))
+            if not self.rentals.is_blocked(MachineOffering(pool.machine_type, zone, pool.spot))
         ]
         if not zones:
             return
@@ -292,7 +292,7 @@
             if machine.pool == pool
             and machine.id not in inventory.returning
             and machine.id in rooms
-            and rooms[machine.id].tasks == 0
+            and rooms[machine.id].task_count == 0
             and ctx.now - rooms[machine.id].idle_since > self.parameters.idle
             and not ctx.view.on_machine(machine.id)
         ]
--- a/coursefold/coordination/rentals.py
+++ b/coursefold/coordination/rentals.py
@@ -18,7 +18,7 @@
 from coursefold.coordination.context import Context
 from coursefold.coordination.demand import PoolId
 from coursefold.coordination.inventory import Inventory
-from coursefold.coordination.placement import Place
+from coursefold.coordination.placement import MachineOffering
 from coursefold.protocol.wire import Boxes, decode
 from coursefold.storage import codec
 from coursefold.storage.edits import Edit, NotApplicableError, Result
@@ -54,8 +54,8 @@
 
     def reset(self) -> None:
         """Begin anew, as a new leader does."""
-        self.blocked_until: dict[Place, float] = {}
-        self.refusal_counts: dict[Place, int] = {}
+        self.blocked_until: dict[MachineOffering, float] = {}
+        self.refusal_counts: dict[MachineOffering, int] = {}
         self.begin_term()
 
     def begin_term(self) -> None:
@@ -63,7 +63,7 @@
         self.in_flight: set[str] = set()
         self.answered: set[str] = set()
 
-    def is_blocked(self, place: Place) -> bool:
+    def is_blocked(self, place: MachineOffering) -> bool:
         """Was the cloud out of such machines a moment ago?"""
         return self.blocked_until.get(place, 0.0) > self.ctx.now
 
@@ -128,7 +128,7 @@
             self._take_machines(pool, hire, decode(body, Boxes).machines)
         elif refused:
             log.info("hire %s: refused (%d) in %s %s", hire.name, status, pool, hire.zone)
-            self._block(Place(pool.machine_type, hire.zone, pool.spot))
+            self._block(MachineOffering(pool.machine_type, hire.zone, pool.spot))
             self._write(pool, hire.name, None)
 
     def _take_machines(self, pool: PoolId, hire: Hire, machines: list[str]) -> None:
@@ -138,14 +138,14 @@
             "hire %s: %d of %d in %s %s: %s",
             hire.name, len(machines), hire.count, pool, hire.zone, ",".join(machines),
         )  # fmt: skip
-        place = Place(pool.machine_type, hire.zone, pool.spot)
+        place = MachineOffering(pool.machine_type, hire.zone, pool.spot)
         if len(machines) < hire.count:
             self._block(place)
         else:
             self.refusal_counts.pop(place, None)
         self._write(pool, hire.name, msgspec.structs.replace(hire, machines=machines))
 
-    def _block(self, place: Place) -> None:
+    def _block(self, place: MachineOffering) -> None:
         """No capacity: ask elsewhere for a while."""
         times = self.refusal_counts.get(place, 0)
         self.refusal_counts[place] = times + 1
