--- a/coursefold/cells/cells.py
+++ b/coursefold/cells/cells.py
@@ -40,7 +40,7 @@
         self.lapsed: dict[str, bool] = {}
         self.waits_at = Moment(-1e9)
         self.encoded_waits = b""
-        core.upgrade.want_level(records.WITH_CELLS)
+        core.upgrade.require_level(records.WITH_CELLS)
         core.extensions.append(self)
 
     def tick(self) -> None:
--- a/coursefold/cells/edits.py
+++ b/coursefold/cells/edits.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from coursefold.cells.messages import GuestState, Handle, Offer, Ranges
-from coursefold.coordination.jobs import settle
+from coursefold.coordination.jobs import end_if_complete
 from coursefold.storage import records
 from coursefold.storage.cell_records import Away, AwayStage, CellLink, Guest, GuestStage
 from coursefold.storage.edits import Change, NotApplicableError, Remove, Result
@@ -128,7 +128,7 @@
         if told is not None:
             done = [r for r in merged(job.done, told.done) if r[1] < job.spec.tasks]
             job = replace(job, done=done, attempt=max(job.attempt, told.attempt))
-        return settle(replace(job, away=back))
+        return end_if_complete(replace(job, away=back))
 
     return change
 
@@ -208,7 +208,7 @@
         ):
             raise NotApplicableError("revoked")
         kept = [entry for entry in job.entries if entry.stage != records.DEALT]
-        return settle(replace(job, status=records.CANCELLED, entries=kept))
+        return end_if_complete(replace(job, status=records.CANCELLED, entries=kept))
 
     return change
 
--- a/coursefold/coordination/cancellations.py
+++ b/coursefold/coordination/cancellations.py
@@ -30,13 +30,13 @@
 AHEAD = 1000  # revisions that a sibling may be ahead of us at any time
 
 
-def most_told(ctx: Context) -> int:
+def max_cancellations_per_frame(ctx: Context) -> int:
     """Cancellations in one frame: more than are confirmed before a listener's next news."""
     rate = ctx.settings.params.state.write_rps
     return min(MOST_TOLD, max(LEAST_TOLD, int(CONFIRMED_S * rate)))
 
 
-def tell(ctx: Context, member: str, body: peer_pb2.Cancellations) -> None:
+def fill_message(ctx: Context, member: str, body: peer_pb2.Cancellations) -> None:
     """What we know and the sibling, by its own last word, may not."""
     view = ctx.view
     peer = ctx.peers.get(member)
@@ -44,7 +44,7 @@
     body.since = peer.ledger if peer else 0
     stamps = [(view.stamp(job_key(name)), name) for name in view.cancelled]
     found = sorted(((s, n) for s, n in stamps if s > body.since), reverse=True)
-    most = most_told(ctx)
+    most = max_cancellations_per_frame(ctx)
     if len(found) > most:
         body.since = found[most][0]  # the sibling sees that it was not told all
     for stamp, name in found[:most]:
@@ -58,14 +58,14 @@
     silence = max(0.0, ctx.now - ctx.follow_ok_at)
     latest = ctx.view.ledger + AHEAD + int(4 * state.write_rps * (silence + 10.0))
     return (
-        len(told.jobs) <= most_told(ctx)
+        len(told.jobs) <= max_cancellations_per_frame(ctx)
         and told.ledger <= latest
         and told.roster <= latest
         and all(is_job_id(c.job) and told.since < c.stamp <= latest for c in told.jobs)
     )
 
 
-def take(ctx: Context, peer: PeerView, told: peer_pb2.Cancellations, sent: Moment) -> None:
+def apply_message(ctx: Context, peer: PeerView, told: peer_pb2.Cancellations, sent: Moment) -> None:
     """Note a sibling's word: what it hands over, and up to when nothing of it is unknown to us."""
     if not ctx.view.loaded:
         return
@@ -118,7 +118,7 @@
         del ctx.handed[name]
 
 
-def is_off(ctx: Context, name: JobId) -> bool:
+def is_cancelled_or_expired(ctx: Context, name: JobId) -> bool:
     """Is the job cancelled, by our records or by a sibling's word, or its grant over?"""
     job = ctx.view.jobs.get(name)
     if job is not None and job.status == records.CANCELLED:
--- a/coursefold/coordination/commands.py
+++ b/coursefold/coordination/commands.py
@@ -10,7 +10,7 @@
 from coursefold.coordination import cancellations
 from coursefold.coordination.context import Context, Machine
 from coursefold.coordination.effects import Direct
-from coursefold.coordination.steps import Steps
+from coursefold.coordination.transitions import TransitionProposer
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Order, Report, TaskReport
 from coursefold.storage.records import DEALT, LIVE, PLACED, STOPPING, Entry, JobRecord
@@ -26,7 +26,7 @@
 class Commands:
     """Finds commands for machines of our part, and has exits written."""
 
-    def __init__(self, ctx: Context, steps: Steps) -> None:
+    def __init__(self, ctx: Context, steps: TransitionProposer) -> None:
         self.ctx, self.steps = ctx, steps
 
     def for_report(self, machine: Machine, report: Report) -> list[Order]:
@@ -52,7 +52,7 @@
                 stops.append(Order("stop", item.task, item.attempt, 0.0))
                 continue
             job = ctx.view.jobs[JobId(place[0])]
-            if cancellations.is_off(ctx, place[0]):
+            if cancellations.is_cancelled_or_expired(ctx, place[0]):
                 stops.append(Order("stop", item.task, item.attempt, 0.0))
             elif entry.stage == STOPPING and item.state != "flushing":
                 stops.append(Order("stop", item.task, item.attempt, self._grace(job)))
@@ -86,7 +86,7 @@
             return
         job = ctx.view.jobs[job_id]
         if job.status == LIVE and entry.stage == PLACED:
-            if cancellations.is_off(ctx, job_id):
+            if cancellations.is_cancelled_or_expired(ctx, job_id):
                 return  # its own news decides what becomes of the place
             runs.append(Order("run", f"{job_id}/{entry.index}", entry.attempt))
             return
@@ -168,7 +168,7 @@
             job = ctx.view.jobs[job_id]
             key = (job_id, entry.index, entry.attempt)
             listed = machine.tasks.get((job_id, entry.index))
-            off = cancellations.is_off(ctx, job_id)
+            off = cancellations.is_cancelled_or_expired(ctx, job_id)
             if (
                 (off or entry.stage == STOPPING)
                 and entry.session == machine.session
--- a/coursefold/coordination/core.py
+++ b/coursefold/coordination/core.py
@@ -17,10 +17,10 @@
 from coursefold.coordination.election import Election
 from coursefold.coordination.extension import Extension
 from coursefold.coordination.fleet import Fleet
-from coursefold.coordination.forward import Forwarding
+from coursefold.coordination.forward import ProposalForwarder
 from coursefold.coordination.leader import Leader
 from coursefold.coordination.owner import Owner
-from coursefold.coordination.requests import Requests
+from coursefold.coordination.requests import RequestHandler
 from coursefold.coordination.upgrade import Upgrade
 from coursefold.policy import Policy
 from coursefold.protocol.ids import JobId, Moment, WallTime
@@ -57,16 +57,16 @@
         self.ctx = Context(settings, self.view, self.queue, policy)
         self.upgrade = Upgrade(self.ctx)
         self.election = Election(self.ctx, self.upgrade)
-        rows = summary.Rows(self.ctx)
+        rows = summary.MachineRows(self.ctx)
         self.tellers = {
-            s.member: summary.Teller(self.ctx, rows, s.member) for s in settings.siblings
+            s.member: summary.PeerFrameBuilder(self.ctx, rows, s.member) for s in settings.siblings
         }
-        self.forwarding = Forwarding(self.ctx, self.tellers)
-        self.owner = Owner(self.ctx, self.election, self.forwarding.edit)
+        self.forwarding = ProposalForwarder(self.ctx, self.tellers)
+        self.owner = Owner(self.ctx, self.election, self.forwarding.propose)
         self.leader = Leader(self.ctx, self.owner)
         self.fleet = Fleet(self.ctx, self.leader)
         self.extensions: list[Extension] = []
-        self.requests = Requests(self.ctx, lambda: self.leader.reasons)
+        self.requests = RequestHandler(self.ctx, lambda: self.leader.reasons)
         self.was_leading = False
 
     def at(self, now: Moment, wall: WallTime) -> None:
@@ -87,8 +87,8 @@
         if self.ctx.tell:
             self.ctx.tell = False
             for teller in self.tellers.values():
-                teller.urgent = True
-        waiting = [name for name, teller in self.tellers.items() if teller.waits()]
+                teller.summary_requested = True
+        waiting = [name for name, teller in self.tellers.items() if teller.has_pending()]
         if waiting:
             out.append(Tell(waiting))
         return out
@@ -101,7 +101,7 @@
         self.forwarding.tick()
         self.upgrade.tick()
         self.election.tick()
-        self.requests.resolve()
+        self.requests.resolve_prerequisites()
         self.owner.tick()
         self.leader.tick()
         self.fleet.tick()
@@ -123,7 +123,13 @@
         named = self.view.needs.named
         for name in list(islice((n for n in unswept if not named(n)), SWEEP)):
             self.queue.propose(
-                Edit(job_key(name), jobs.sweep(), rank=LATER, fence=self.view.token, tag="sweep")
+                Edit(
+                    job_key(name),
+                    jobs.move_ending(),
+                    rank=LATER,
+                    fence=self.view.token,
+                    tag="sweep",
+                )
             )
 
     def stop_tasks(self, names: Iterable[JobId]) -> None:
@@ -133,24 +139,24 @@
 
     def linked(self, member: str) -> None:
         """A new connection to a sibling."""
-        self.tellers[member].begin()
-        self.forwarding.linked(member)
+        self.tellers[member].start_connection()
+        self.forwarding.resend_proposals(member)
 
     def frame(self, member: str) -> bytes:
         """The next frame for a sibling; empty if there is nothing to say."""
-        return self.tellers[member].frame(
+        return self.tellers[member].build_frame(
             set(self.leader.wanted), self.election.unreachable_for_workers(), self.leader.reasons
         )
 
     def peer(self, frame: bytes) -> bool:
         """A sibling's frame; False if its connection should end."""
-        envelope = summary.read(self.ctx, frame)
+        envelope = summary.decode_frame(self.ctx, frame)
         if envelope is None:
             return False
-        summary.take(self.ctx, envelope)
+        summary.apply_frame(self.ctx, envelope)
         self.owner.stop_handed()
-        self.forwarding.outcomes(list(envelope.outcomes))
-        self.forwarding.proposals(envelope.sender, list(envelope.proposals))
+        self.forwarding.receive_outcomes(list(envelope.outcomes))
+        self.forwarding.receive_proposals(envelope.sender, list(envelope.proposals))
         return True
 
     def cloud(self, call: int, status: int, body: bytes) -> None:
@@ -174,7 +180,9 @@
     def healthy(self) -> bool:
         """Can this node take requests?"""
         return (
-            self.view.loaded and not self.requests.state_silent() and self.view.catalog is not None
+            self.view.loaded
+            and not self.requests.is_state_service_silent()
+            and self.view.catalog is not None
         )
 
     def condition(self) -> dict[str, Any]:
@@ -186,7 +194,7 @@
             "leader": roster.leader if roster else None,
             "members": [m.name for m in roster.members] if roster else [],
             "switched": self.view.level >= records.OURS,
-            "older": self.upgrade.waits_for() if self.view.loaded else None,
+            "older": self.upgrade.controllers_without_version() if self.view.loaded else None,
         }
         for extension in self.extensions:
             condition |= extension.condition()
@@ -195,11 +203,11 @@
     @property
     def questions(self) -> list[int]:
         """Tickets of questions that wait for a view as new as they are."""
-        return self.requests.questions
+        return self.requests.refresh_tickets
 
     @questions.setter
     def questions(self, tickets: list[int]) -> None:
-        self.requests.questions = tickets
+        self.requests.refresh_tickets = tickets
 
     def operate(self, path: str, body: bytes, ticket: int) -> None:
         """POST of an operator's command."""
@@ -220,11 +228,11 @@
 
     def vouched(self, tickets: list[int]) -> None:
         """The view is now as new as these questions."""
-        self.requests.vouched(tickets)
+        self.requests.view_refreshed(tickets)
 
     def read(self, ticket: int, found: JobRecord | Ending | None) -> None:
         """What the state service knows of the job asked for."""
-        self.requests.read(ticket, found)
+        self.requests.record_read(ticket, found)
 
     def read_failed(self, ticket: int) -> None:
         """The state service could not be asked."""
--- a/coursefold/coordination/election.py
+++ b/coursefold/coordination/election.py
@@ -42,7 +42,7 @@
         self.coming: list[MemberRecord] | None = None
         self.coming_at = self.coming_since = 0.0
 
-    def note_misdirected(self, owner: str, machine: str) -> None:
+    def record_misdirected(self, owner: str, machine: str) -> None:
         """A worker came to us although `owner` is the one to report to."""
         times = self.misdirected.setdefault(owner, {}).setdefault(machine, [])
         times.append(self.ctx.now)
@@ -92,7 +92,7 @@
         if mine is None or mine.permit != ctx.permit:
             self._join()
             return
-        if not self.upgrade.speaks(ctx.me):
+        if not self.upgrade.has_current_version(ctx.me):
             return  # what we wrote of our version is on its way
         self._update_evicted()
         roster = ctx.view.roster
@@ -124,7 +124,8 @@
         return [
             live[name]
             for name in sorted(live)
-            if name == self.ctx.me or (name not in self.evicted and self.upgrade.speaks(name))
+            if name == self.ctx.me
+            or (name not in self.evicted and self.upgrade.has_current_version(name))
         ]
 
     def _maintain(self, roster: Roster, members: list[MemberRecord]) -> None:
@@ -188,7 +189,7 @@
     def _join(self) -> None:
         """Replace our former self's key at once: it will not come back."""
         ctx = self.ctx
-        self.upgrade.announce()
+        self.upgrade.announce_version()
         record = MemberRecord(ctx.me, ctx.permit, ctx.settings.zone)
 
         def change(current: Struct | None) -> Result:
--- a/coursefold/coordination/forward.py
+++ b/coursefold/coordination/forward.py
@@ -11,8 +11,8 @@
 from typing import NamedTuple
 
 from coursefold.coordination.context import Context
-from coursefold.coordination.jobs import Step, Task
-from coursefold.coordination.summary import Teller
+from coursefold.coordination.jobs import TaskRef, TaskTransition
+from coursefold.coordination.summary import PeerFrameBuilder
 from coursefold.protocol import peer_pb2
 from coursefold.protocol.ids import JobId, is_job_id
 from coursefold.storage.edits import SOON, Edit
@@ -24,7 +24,7 @@
 WAIT_S = 6.0
 
 
-class Sent(NamedTuple):
+class SentProposal(NamedTuple):
     """A proposal under way."""
 
     edit: Edit
@@ -34,12 +34,12 @@
     proposal: peer_pb2.Proposal
 
 
-class Forwarding:
+class ProposalForwarder:
     """Both sides: what we proposed to the leader, and what owners proposed to us."""
 
-    def __init__(self, ctx: Context, tellers: dict[str, Teller]) -> None:
+    def __init__(self, ctx: Context, tellers: dict[str, PeerFrameBuilder]) -> None:
         self.ctx, self.tellers = ctx, tellers
-        self.sent: dict[int, Sent] = {}
+        self.sent: dict[int, SentProposal] = {}
         self.landed: list[peer_pb2.Outcome] = []
         self.taken: set[tuple[str, int]] = set()
         self.last_id = 0
@@ -55,7 +55,7 @@
             return None
         return roster.leader
 
-    def edit(self, job: JobId, step: Step, edit: Edit) -> bool:
+    def propose(self, job: JobId, step: TaskTransition, edit: Edit) -> bool:
         """Propose an edit to the leader, or queue it here. False if its like is under way."""
         ctx = self.ctx
         leader = self._leader()
@@ -69,11 +69,11 @@
         )
         for task in step.tasks:
             proposal.tasks.add(**task._asdict())
-        self.sent[self.last_id] = Sent(edit, leader, ctx.view.token, ctx.now, proposal)
+        self.sent[self.last_id] = SentProposal(edit, leader, ctx.view.token, ctx.now, proposal)
         self.tellers[leader].proposals.append(proposal)
         return True
 
-    def linked(self, member: str) -> None:
+    def resend_proposals(self, member: str) -> None:
         """A new connection to a sibling: what the old one may have lost is said again."""
         teller = self.tellers[member]
         teller.proposals = [s.proposal for s in self.sent.values() if s.leader == member]
@@ -103,29 +103,31 @@
             ctx.queue.release(sent.edit)
             ctx.queue.propose(sent.edit)
 
-    def outcomes(self, found: list[peer_pb2.Outcome]) -> None:
+    def receive_outcomes(self, found: list[peer_pb2.Outcome]) -> None:
         """Note what the leader says became of our proposals."""
         for outcome in found:
             if outcome.id in self.sent:
                 self.landed.append(outcome)
 
-    def proposals(self, sender: str, found: list[peer_pb2.Proposal]) -> None:
+    def receive_proposals(self, sender: str, found: list[peer_pb2.Proposal]) -> None:
         """An owner's edits: queue them, and tell what became of them."""
         ctx = self.ctx
         for item in found:
             key = (sender, item.id)
             if key in self.taken:
                 continue
-            step = Step(
+            step = TaskTransition(
                 item.kind,
-                tuple(Task(t.number, t.attempt, t.zone, t.machine, t.session) for t in item.tasks),
+                tuple(
+                    TaskRef(t.number, t.attempt, t.zone, t.machine, t.session) for t in item.tasks
+                ),
                 sender,
                 item.at,
             )
             if not ctx.leading() or item.token != ctx.view.token:
                 self._answer(sender, item.id, False, "not leading", 0)
                 continue
-            if not is_job_id(item.job) or not step.valid():
+            if not is_job_id(item.job) or not step.is_valid():
                 log.error("proposal of %s makes no sense: %s %s", sender, item.kind, item.job[:60])
                 self._answer(sender, item.id, False, "malformed", 0)
                 continue
@@ -137,7 +139,7 @@
                 self._answer(sender, id, ok, why, ctx.view.changed_at(job_key(job)))
 
             ctx.queue.propose(
-                Edit(job_key(job), step.change(), rank=SOON, fence=item.token, done=settled)
+                Edit(job_key(job), step.to_change(), rank=SOON, fence=item.token, done=settled)
             )
 
     def _answer(self, member: str, id: int, ok: bool, why: str, ledger: int) -> None:
--- a/coursefold/coordination/inventory.py
+++ b/coursefold/coordination/inventory.py
@@ -292,7 +292,7 @@
         for job, entry in ctx.view.on_machine(machine):
             if entry.stage == DEALT:
                 continue
-            change = jobs.gone(entry.index, machine, entry.attempt)
+            change = jobs.mark_gone(entry.index, machine, entry.attempt)
             edit = Edit(job_key(job), change, fence=ctx.view.token, tag=f"gone{entry.index}")
             ctx.queue.propose(edit)
 
--- a/coursefold/coordination/jobs.py
+++ b/coursefold/coordination/jobs.py
@@ -41,7 +41,7 @@
     return job
 
 
-def settle(job: JobRecord) -> Result:
+def end_if_complete(job: JobRecord) -> Result:
     """The record itself, or its ending when nothing of it is left to do.
 
     The ending takes the record's place, which is one change; it moves to where it
@@ -72,7 +72,7 @@
     return msgspec.structs.replace(job, guest=msgspec.structs.replace(guest, stage=stage))
 
 
-def sweep() -> Change:
+def move_ending() -> Change:
     """Move an ending out of the live jobs' keys, so that a starting node need not read it."""
 
     def change(record: Struct | None) -> Result:
@@ -100,7 +100,7 @@
     return change
 
 
-def release(ready: float) -> Change:
+def clear_prerequisites(ready: float) -> Change:
     """All that the job needs is done: from here on its tasks may be dealt.
 
     Made in the transaction of the first deal, so it costs no change of its own. That
@@ -116,7 +116,7 @@
     return change
 
 
-def orphan() -> Change:
+def cancel_dependent() -> Change:
     """The ending of a job that needs a cancelled one; it has no task, and never had."""
 
     def change(record: Struct | None) -> Result:
@@ -138,14 +138,14 @@
         if away is not None and away.stage == AwayStage.OFFERED:
             # Nobody may start it without a grant, and there will be none.
             away = msgspec.structs.replace(away, stage=AwayStage.HOME)
-        return settle(
+        return end_if_complete(
             msgspec.structs.replace(job, status=records.CANCELLED, entries=kept, away=away)
         )
 
     return change
 
 
-class Dealt(NamedTuple):
+class Assignment(NamedTuple):
     """A waiting task handed to an owner; `machine` is only a hint."""
 
     number: int
@@ -154,7 +154,7 @@
     machine: str
 
 
-def deal(tasks: list[Dealt]) -> Change:
+def assign(tasks: list[Assignment]) -> Change:
     """Hand waiting tasks to owners; those that no longer wait are left out."""
 
     def change(record: Struct | None) -> Result:
@@ -172,7 +172,7 @@
     return change
 
 
-def undeal(index: int, owner: str) -> Change:
+def unassign(index: int, owner: str) -> Change:
     """Hand a task back for which the owner finds no place."""
 
     def change(record: Struct | None) -> Result:
@@ -189,7 +189,7 @@
     return change
 
 
-class Task(NamedTuple):
+class TaskRef(NamedTuple):
     """A task at a place, as a step names it; what a step does not need is left empty."""
 
     number: int
@@ -199,7 +199,7 @@
     session: int = 0
 
 
-def place(owner: str, tasks: Sequence[Task]) -> Change:
+def place(owner: str, tasks: Sequence[TaskRef]) -> Change:
     """Give dealt (or waiting) tasks their machines; each attempt's number is new.
 
     Those that are done, or no longer the owner's to place, are left out.
@@ -247,7 +247,7 @@
     return change
 
 
-def stopping(index: int | None, attempt: int) -> Change:
+def mark_stopping(index: int | None, attempt: int) -> Change:
     """Write down that a task (all of a gang: None) is to be stopped, before it is told."""
 
     def change(record: Struct | None) -> Result:
@@ -276,36 +276,38 @@
     return kept
 
 
-def gone(index: int, machine: str, attempt: int) -> Change:
+def mark_gone(index: int, machine: str, attempt: int) -> Change:
     """The task's place is proven gone; it waits again, or its cancelled job ends."""
 
     def change(record: Struct | None) -> Result:
         job = _job(record)
-        return settle(msgspec.structs.replace(job, entries=_without(job, index, machine, attempt)))
+        return end_if_complete(
+            msgspec.structs.replace(job, entries=_without(job, index, machine, attempt))
+        )
 
     return change
 
 
-def finish(index: int, machine: str, attempt: int) -> Change:
+def mark_done(index: int, machine: str, attempt: int) -> Change:
     """The task is done. A gang completes together: one done task means all are."""
 
     def change(record: Struct | None) -> Result:
         job = _job(record)
         kept = _without(job, index, machine, attempt)
         if job.status == records.CANCELLED:
-            return settle(msgspec.structs.replace(job, entries=kept))
+            return end_if_complete(msgspec.structs.replace(job, entries=kept))
         if job.spec.shape == "ensemble":
             if job.guest is None:
                 return Ending(records.DONE, job.spec.tasks)
             whole = [(0, job.spec.tasks - 1)]
-            return settle(msgspec.structs.replace(job, entries=[], done=whole))
+            return end_if_complete(msgspec.structs.replace(job, entries=[], done=whole))
         done = records.add_done(job.done, index)
-        return settle(msgspec.structs.replace(job, entries=kept, done=done, errors=0))
+        return end_if_complete(msgspec.structs.replace(job, entries=kept, done=done, errors=0))
 
     return change
 
 
-def failed(index: int, machine: str, attempt: int, wall: float) -> Change:
+def mark_failed(index: int, machine: str, attempt: int, wall: float) -> Change:
     """The task ended with an error: it waits again, longer after each error.
 
     A job submitted with a mistake fails everywhere until its user cancels it;
@@ -316,7 +318,7 @@
         job = _job(record)
         errors = job.errors + 1
         pause = min(60.0, 0.5 * 2 ** min(errors - 1, 7))
-        return settle(
+        return end_if_complete(
             msgspec.structs.replace(
                 job,
                 entries=_without(job, index, machine, attempt),
@@ -330,35 +332,35 @@
     return change
 
 
-class Step(NamedTuple):
+class TaskTransition(NamedTuple):
     """An owner's edit in a form that can be sent to the leader."""
 
     kind: str
-    tasks: tuple[Task, ...]
+    tasks: tuple[TaskRef, ...]
     owner: str
     at: float = 0.0
 
-    def valid(self) -> bool:
+    def is_valid(self) -> bool:
         """False for what no owner would send."""
         several = self.kind == "place"
         return self.kind in KINDS and (len(self.tasks) == 1 or (several and bool(self.tasks)))
 
-    def change(self) -> Change:
+    def to_change(self) -> Change:
         """The edit that the step stands for."""
         if self.kind == "place":
             return place(self.owner, self.tasks)
         task = self.tasks[0]
         if self.kind == "stop":
-            return stopping(task.number, task.attempt)
+            return mark_stopping(task.number, task.attempt)
         if self.kind == "stop_all":
-            return stopping(None, task.attempt)
+            return mark_stopping(None, task.attempt)
         if self.kind == "gone":
-            return gone(task.number, task.machine, task.attempt)
+            return mark_gone(task.number, task.machine, task.attempt)
         if self.kind == "finish":
-            return finish(task.number, task.machine, task.attempt)
+            return mark_done(task.number, task.machine, task.attempt)
         if self.kind == "failed":
-            return failed(task.number, task.machine, task.attempt, self.at)
-        return undeal(task.number, self.owner)
+            return mark_failed(task.number, task.machine, task.attempt, self.at)
+        return unassign(task.number, self.owner)
 
 
 KINDS = frozenset({"place", "stop", "stop_all", "gone", "finish", "failed", "undeal"})
--- a/coursefold/coordination/leader.py
+++ b/coursefold/coordination/leader.py
@@ -225,7 +225,7 @@
                 ctx.queue.propose(
                     Edit(
                         job_key(name),
-                        jobs.undeal(index, owner),
+                        jobs.unassign(index, owner),
                         fence=ctx.view.token,
                         tag=f"undeal{index}",
                     )
@@ -239,14 +239,20 @@
         ctx = self.ctx
         for name in islice(ctx.view.needs.doomed, ORPHANS):
             ctx.queue.propose(
-                Edit(job_key(name), jobs.orphan(), rank=LATER, fence=ctx.view.token, tag="orphan")
+                Edit(
+                    job_key(name),
+                    jobs.cancel_dependent(),
+                    rank=LATER,
+                    fence=ctx.view.token,
+                    tag="orphan",
+                )
             )
 
     def _release(self, name: JobId, job: JobRecord) -> None:
         """What the job needs is done: let its tasks be dealt, in the same transaction."""
         ctx = self.ctx
         if job.needs:
-            change = jobs.release(ctx.view.since(name, job))
+            change = jobs.clear_prerequisites(ctx.view.since(name, job))
             ctx.queue.propose(Edit(job_key(name), change, fence=ctx.view.token, tag="release"))
 
     def _zones(self, job: JobRecord) -> dict[str, int]:
@@ -322,13 +328,13 @@
         """Place on our own machines, and deal the rest to their owners."""
         self._release(name, job)
         self.flying.setdefault(name, set()).update(choice.number for choice in choices)
-        places: list[jobs.Task] = []
-        deals: list[jobs.Dealt] = []
+        places: list[jobs.TaskRef] = []
+        deals: list[jobs.Assignment] = []
         for number, room in choices:
             if room.owner == self.ctx.me:
-                places.append(jobs.Task(number, 0, room.zone, room.id, room.session))
+                places.append(jobs.TaskRef(number, 0, room.zone, room.id, room.session))
             else:
-                deals.append(jobs.Dealt(number, room.owner, room.zone, room.id))
+                deals.append(jobs.Assignment(number, room.owner, room.zone, room.id))
         if places:
             self.owner.placing.propose_place(name, job, places)
         if deals:
@@ -349,7 +355,7 @@
             return False
         return any(build == best and not spot for build, _, spot in self.booting)
 
-    def _deal(self, name: JobId, job: JobRecord, deals: list[jobs.Dealt]) -> None:
+    def _deal(self, name: JobId, job: JobRecord, deals: list[jobs.Assignment]) -> None:
         ctx = self.ctx
         for task in deals:
             ctx.pending[(name, task.number)] = (task.machine, job.spec)
@@ -362,7 +368,7 @@
                 why or "done",
             )  # fmt: skip
 
-        edit = Edit(job_key(name), jobs.deal(deals), fence=ctx.view.token, done=settled)
+        edit = Edit(job_key(name), jobs.assign(deals), fence=ctx.view.token, done=settled)
         ctx.queue.propose(edit)
 
     def _gang(self, wait: Waiting, floor: gangs.Floor, quota: Quota) -> None:
@@ -485,7 +491,7 @@
             self.ctx.queue.propose(
                 Edit(
                     job_key(name),
-                    jobs.stopping(None, attempt),
+                    jobs.mark_stopping(None, attempt),
                     fence=self.ctx.view.token,
                     tag=f"end{attempt}",
                 )
--- a/coursefold/coordination/lease_renewal.py
+++ b/coursefold/coordination/lease_renewal.py
@@ -75,7 +75,7 @@
         peer = ctx.peers.get(owner)
         roster = ctx.view.roster
         member = roster.member(owner) if roster else None
-        oldest = summary.oldest(ctx.settings.params.skew_ms)
+        oldest = summary.max_frame_age_s(ctx.settings.params.skew_ms)
         return (
             peer is not None
             and member is not None
--- a/coursefold/coordination/owner.py
+++ b/coursefold/coordination/owner.py
@@ -13,7 +13,7 @@
 from coursefold.coordination.hearing import Hearing
 from coursefold.coordination.lease_renewal import LeaseRenewal
 from coursefold.coordination.placing import Placing
-from coursefold.coordination.steps import Forward, Steps
+from coursefold.coordination.transitions import ForwardTransition, TransitionProposer
 from coursefold.protocol.ids import parse_task
 from coursefold.protocol.wire import Order, Report
 from coursefold.storage.records import DEALT
@@ -29,9 +29,9 @@
 class Owner:
     """Acts for the machines whose hash falls to this node."""
 
-    def __init__(self, ctx: Context, election: Election, forward: Forward) -> None:
+    def __init__(self, ctx: Context, election: Election, forward: ForwardTransition) -> None:
         self.ctx, self.election = ctx, election
-        steps = Steps(ctx, forward)
+        steps = TransitionProposer(ctx, forward)
         self.hearing = Hearing(ctx)
         self.renewal = LeaseRenewal(ctx)
         self.commands = Commands(ctx, steps)
@@ -61,7 +61,7 @@
             if ctx.now - ctx.follow_ok_at > ctx.news_age() or owner is None:
                 self._refuse(ticket)
                 return
-            self.election.note_misdirected(owner, report.machine)
+            self.election.record_misdirected(owner, report.machine)
             ctx.out.append(Answer(ticket, 421, {"Foreman": owner}))
             return
         if not self._may_command(report.machine, report.token):
@@ -151,7 +151,7 @@
         orders = []
         for item in report.tasks:
             task = parse_task(item.task)
-            off = task is not None and cancellations.is_off(ctx, task.job)
+            off = task is not None and cancellations.is_cancelled_or_expired(ctx, task.job)
             if off and item.state != "exited":
                 orders.append(Order("stop", item.task, item.attempt, 0.0))
         self._accept(machine, ticket, orders)
--- a/coursefold/coordination/placing.py
+++ b/coursefold/coordination/placing.py
@@ -6,7 +6,7 @@
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
 from coursefold.coordination.placement import SLACK, Picker, Refused, Room
-from coursefold.coordination.steps import Steps
+from coursefold.coordination.transitions import TransitionProposer
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 from coursefold.storage.edits import LATER, SOON
@@ -20,7 +20,7 @@
 class Placing:
     """Chooses machines in our part."""
 
-    def __init__(self, ctx: Context, steps: Steps) -> None:
+    def __init__(self, ctx: Context, steps: TransitionProposer) -> None:
         self.ctx, self.steps = ctx, steps
         self.dealt_since: dict[tuple[str, int], float] = {}
 
@@ -43,13 +43,13 @@
         rooms: list[Room] | None = None
         refused = Refused()
         extra = self._under_way()
-        found: dict[JobId, list[jobs.Task]] = {}
+        found: dict[JobId, list[jobs.TaskRef]] = {}
         for name, job, entry in mine:
             # The hint's own share is what we look for: its room counts as taken for us.
             room = ctx.room(entry.machine)
             if room is not None and self._fits(room, entry, extra.get(room.id, ())):
                 found.setdefault(name, []).append(
-                    jobs.Task(entry.index, 0, room.zone, room.id, room.session)
+                    jobs.TaskRef(entry.index, 0, room.zone, room.id, room.session)
                 )
                 continue
             if rooms is None:
@@ -62,7 +62,7 @@
             if room is not None:
                 extra.setdefault(room.id, []).append(job.spec)
                 found.setdefault(name, []).append(
-                    jobs.Task(entry.index, 0, room.zone, room.id, room.session)
+                    jobs.TaskRef(entry.index, 0, room.zone, room.id, room.session)
                 )
                 continue
             since = self.dealt_since.setdefault((name, entry.index), ctx.now)
@@ -92,7 +92,7 @@
             and min(room.cpus, room.gpus, room.memory) >= -SLACK
         )
 
-    def propose_place(self, name: JobId, job: JobRecord, tasks: list[jobs.Task]) -> None:
+    def propose_place(self, name: JobId, job: JobRecord, tasks: list[jobs.TaskRef]) -> None:
         """Write a job's new places, all at once; until then they count as taken."""
         ctx = self.ctx
         for task in tasks:
@@ -107,5 +107,5 @@
             else:
                 log.debug("place %s on %s: %s", name, where, why)
 
-        step = jobs.Step("place", tuple(tasks), ctx.me)
+        step = jobs.TaskTransition("place", tuple(tasks), ctx.me)
         self.steps.write(name, step, "", SOON, settled)
--- a/coursefold/coordination/preemption.py
+++ b/coursefold/coordination/preemption.py
@@ -196,7 +196,7 @@
             ctx.queue.propose(
                 Edit(
                     job_key(victim),
-                    jobs.stopping(entry.index, entry.attempt),
+                    jobs.mark_stopping(entry.index, entry.attempt),
                     fence=ctx.view.token,
                     tag=f"stop{entry.index}",
                 )
--- a/coursefold/coordination/requests.py
+++ b/coursefold/coordination/requests.py
@@ -31,7 +31,7 @@
 BUILDS = 8  # machine types of a job beyond which unknown ones are not stored
 BACKLOG_S = 20.0  # of changes that wait behind acceptances, which bounds their memory
 ASKING = 2000  # questions that may wait at once
-RESOLVE_S = 1.0
+RESOLVE_INTERVAL_S = 1.0
 RESOLVING = 4  # endings read at once for the sake of jobs that need them
 NAMED = 5  # jobs told in a reason
 
@@ -47,7 +47,7 @@
     RESOLVE = "resolve"  # a job that was accepted needs it
 
 
-class Question(NamedTuple):
+class PendingRequest(NamedTuple):
     """A request that waits for a job's state; `spec` is the submission's, if it is one."""
 
     purpose: Purpose
@@ -55,35 +55,35 @@
     spec: Job | None
 
 
-class Requests:
+class RequestHandler:
     """Answers users, from a view that is as new as their questions."""
 
     def __init__(self, ctx: Context, reasons: Callable[[], dict[JobId, str]]) -> None:
         self.ctx, self.view, self.queue = ctx, ctx.view, ctx.queue
         self.reasons = reasons  # the leader's, while this node leads
-        self.asking: dict[int, Question] = {}
-        self.questions: list[int] = []  # tickets that wait for a view as new as they are
+        self.pending: dict[int, PendingRequest] = {}
+        self.refresh_tickets: list[int] = []  # tickets that wait for a view as new as they are
         self.resolved_at = -1e9
         self.resolving = 0
 
-    def state_silent(self) -> bool:
+    def is_state_service_silent(self) -> bool:
         """Has the state service not answered for a while?"""
         return self.ctx.now - self.ctx.state_ok_at > STATE_SILENCE_S
 
     def _later(self, ticket: int, why: str, seconds: int = 1) -> None:
         self.ctx.out.append(Answer(ticket, 503, {"error": why}, retry_after=seconds))
 
-    def resolve(self) -> None:
+    def resolve_prerequisites(self) -> None:
         """Read the endings of jobs that others need and that we do not hold.
 
         They moved away just when the job that names them was accepted.
         """
-        if self.ctx.now - self.resolved_at < RESOLVE_S or not self.view.loaded:
+        if self.ctx.now - self.resolved_at < RESOLVE_INTERVAL_S or not self.view.loaded:
             return
         self.resolved_at = self.ctx.now
         for need in self.view.unresolved()[:RESOLVING]:
             self.resolving -= 1  # tickets of our own are negative
-            self.asking[self.resolving] = Question(Purpose.RESOLVE, need, None)
+            self.pending[self.resolving] = PendingRequest(Purpose.RESOLVE, need, None)
             self.ctx.out.append(Read(self.resolving, need))
 
     def submit(self, body: bytes, ticket: int) -> None:
@@ -94,7 +94,7 @@
             log.info("submission refused: %s", wrong)
             self.ctx.out.append(Answer(ticket, 400, {"error": str(wrong)}))
             return
-        if not self.view.loaded or self.state_silent():
+        if not self.view.loaded or self.is_state_service_silent():
             self._later(ticket, "no state service", 2)
             return
         if self.view.catalog is None:
@@ -104,7 +104,7 @@
         if self.queue.urgent() > rate or len(self.queue.waiting) > BACKLOG_S * rate:
             self._later(ticket, "too many changes are waiting", 3)
             return
-        if len(self.asking) > ASKING:
+        if len(self.pending) > ASKING:
             self._later(ticket, "too many requests", 2)
             return
         if spec.prereqs and self.view.level < records.OURS:
@@ -136,7 +136,7 @@
             elif self._unclear(need):
                 self._later(ticket, f"the record of {need} can not be read")
             else:
-                self.asking[ticket] = Question(Purpose.NEED, need, spec)
+                self.pending[ticket] = PendingRequest(Purpose.NEED, need, spec)
                 self.ctx.out.append(Read(ticket, need))
             return
         self._accept(spec, ticket)
@@ -204,17 +204,17 @@
         up to date for all that wait; a final state never changes and needs none.
         """
         ending = self.view.endings.get(JobId(job))
-        self.asking[ticket] = Question(what, JobId(job), spec)
+        self.pending[ticket] = PendingRequest(what, JobId(job), spec)
         if ending is not None:
-            self.read(ticket, ending)
+            self.record_read(ticket, ending)
             return
-        self.questions.append(ticket)
+        self.refresh_tickets.append(ticket)
         self.ctx.out.append(Vouch())
 
-    def vouched(self, tickets: list[int]) -> None:
+    def view_refreshed(self, tickets: list[int]) -> None:
         """The view is now as new as these questions."""
         for ticket in tickets:
-            asked = self.asking.get(ticket)
+            asked = self.pending.get(ticket)
             if asked is None:
                 continue
             job = asked.job
@@ -223,9 +223,9 @@
             if found is None and held is not None and isinstance(held.record, Ending):
                 found = held.record  # ended and not moved yet, however long ago
             if found is not None:
-                self.read(ticket, found)
+                self.record_read(ticket, found)
             elif self._unclear(job):
-                self.asking.pop(ticket, None)
+                self.pending.pop(ticket, None)
                 self._later(ticket, "the job's record can not be read")
             else:
                 self.ctx.out.append(Read(ticket, job))  # ended long ago, or unknown
@@ -235,10 +235,10 @@
         if not is_job_id(job):
             self.ctx.out.append(Answer(ticket, 404, {"error": "no such job"}))
             return
-        if self.state_silent():
+        if self.is_state_service_silent():
             self._later(ticket, "no state service", 2)
             return
-        if len(self.asking) > ASKING:
+        if len(self.pending) > ASKING:
             self._later(ticket, "too many requests", 2)
             return
         self._ask(ticket, Purpose.POLL, job, None)
@@ -248,7 +248,7 @@
         if not is_job_id(job):
             self.ctx.out.append(Answer(ticket, 404, {"error": "no such job"}))
             return
-        if not self.view.loaded or self.state_silent():
+        if not self.view.loaded or self.is_state_service_silent():
             self._later(ticket, "no state service", 2)
             return
         if JobId(job) in self.view.jobs and JobId(job) not in self.view.guests:
@@ -268,12 +268,12 @@
 
     def read_failed(self, ticket: int) -> None:
         """The state service could not be asked."""
-        if self.asking.pop(ticket, None) is not None and ticket >= 0:
+        if self.pending.pop(ticket, None) is not None and ticket >= 0:
             self._later(ticket, "no state service", 1)
 
-    def read(self, ticket: int, found: JobRecord | Ending | None) -> None:
+    def record_read(self, ticket: int, found: JobRecord | Ending | None) -> None:
         """What the state service knows of the job asked for."""
-        asked = self.asking.pop(ticket, None)
+        asked = self.pending.pop(ticket, None)
         if asked is None:
             return
         what, name, spec = asked
@@ -394,4 +394,4 @@
 
     def forget_ticket(self, ticket: int) -> None:
         """The asker has gone or was told to come back."""
-        self.asking.pop(ticket, None)
+        self.pending.pop(ticket, None)
--- a/coursefold/coordination/summary.py
+++ b/coursefold/coordination/summary.py
@@ -19,8 +19,8 @@
 
 log = logging.getLogger(__name__)
 
-VERSION = 2
-REASONS = 500  # told in one frame; the others follow in the next ones
+PROTOCOL_VERSION = 2
+MAX_REASONS_PER_FRAME = 500  # told in one frame; the others follow in the next ones
 ROWS_BYTES = 512 * 1024  # of rows in one frame, half of what a frame may have
 SUMMARY_S = 0.6
 ROWS_S = 0.05
@@ -30,14 +30,14 @@
 FINISHED_KEPT = 4000  # while there is no leader to tell
 
 
-class Row(NamedTuple):
+class MachineRow(NamedTuple):
     """One machine of our part as siblings see it; equal as long as nothing of note changes."""
 
     build: str
     zone: str
     spot: bool
     session: int
-    quiet_since: float | None
+    unresponsive_since: float | None
     draining: bool
     sick: bool
     lent: bool
@@ -47,19 +47,19 @@
     images: tuple[str, ...]
 
 
-class Rows:
+class MachineRows:
     """The rows of our part, made once for all siblings, and in which order they changed."""
 
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
         self.at = -1e9
-        self.rows: dict[str, Row] = {}
+        self.rows: dict[str, MachineRow] = {}
         self.changes = 0
         # By machine, the number of its last change, in order; gone ones too, for a while.
         self.changed: dict[str, int] = {}
         self.gone: dict[str, None] = {}
 
-    def get(self) -> dict[str, Row]:
+    def current(self) -> dict[str, MachineRow]:
         """The rows as they are now, by machine."""
         ctx = self.ctx
         if ctx.now - self.at < ROWS_S:
@@ -84,7 +84,7 @@
         self.changed.pop(id, None)
         self.changed[id] = self.changes
 
-    def since(self, change: int) -> list[tuple[str, int]]:
+    def changed_after(self, change: int) -> list[tuple[str, int]]:
         """Machines that changed after a change, and the numbers of theirs, in order."""
         found: list[tuple[str, int]] = []
         for id, number in reversed(self.changed.items()):
@@ -93,16 +93,16 @@
             found.append((id, number))
         return found[::-1]
 
-    def _make(self) -> dict[str, Row]:
+    def _make(self) -> dict[str, MachineRow]:
         ctx = self.ctx
-        rows: dict[str, Row] = {}
+        rows: dict[str, MachineRow] = {}
         if not ctx.active():
             return rows
         for m in ctx.machines.values():
             # One that has not shown our token may be a late copy of an old report.
             if m.proven and ctx.owns(m.id, m.zone):
                 idle = not m.tasks and not ctx.view.occupies(m.id)
-                rows[m.id] = Row(
+                rows[m.id] = MachineRow(
                     m.build, m.zone, m.spot, m.session, m.heard if m.quiet else None,
                     m.recall_at is not None or not m.hears, m.sick, m.lent_until > ctx.now,
                     m.idle_since if idle else None, m.lost, m.deaf, tuple(m.images),
@@ -110,17 +110,17 @@
         return rows
 
 
-class Teller:
+class PeerFrameBuilder:
     """Makes the frames for one sibling."""
 
-    def __init__(self, ctx: Context, rows: Rows, member: str) -> None:
+    def __init__(self, ctx: Context, rows: MachineRows, member: str) -> None:
         self.ctx, self.rows, self.member = ctx, rows, member
-        self.urgent = True
+        self.summary_requested = True
         self.proposals: list[peer_pb2.Proposal] = []
         self.outcomes: list[peer_pb2.Outcome] = []
-        self.begin()
+        self.start_connection()
 
-    def begin(self) -> None:
+    def start_connection(self) -> None:
         """A new connection: the sibling may have nothing yet."""
         self.link = float(self.ctx.wall)
         self.seq = 0
@@ -129,25 +129,27 @@
         self.told_change = 0  # of the rows; all up to it have been told on this connection
         self.said: dict[str, str] = {}
 
-    def waits(self) -> bool:
+    def has_pending(self) -> bool:
         """Is there something to say before the next summary is due?"""
-        return bool(self.urgent or self.proposals or self.outcomes)
+        return bool(self.summary_requested or self.proposals or self.outcomes)
 
-    def frame(self, wanted: set[str], unreachable: set[str], reasons: dict[JobId, str]) -> bytes:
+    def build_frame(
+        self, wanted: set[str], unreachable: set[str], reasons: dict[JobId, str]
+    ) -> bytes:
         """The next frame; empty if there is nothing to say."""
         ctx = self.ctx
-        due = self.full or self.urgent or ctx.now - self.told_at >= SUMMARY_S
+        due = self.full or self.summary_requested or ctx.now - self.told_at >= SUMMARY_S
         if not (due or self.proposals or self.outcomes):
             return b""
         self.seq += 1
         out = peer_pb2.Envelope(
-            version=VERSION, sender=ctx.me, sent_at=ctx.wall, link=self.link, seq=self.seq
+            version=PROTOCOL_VERSION, sender=ctx.me, sent_at=ctx.wall, link=self.link, seq=self.seq
         )
         out.proposals.extend(self.proposals)
         out.outcomes.extend(self.outcomes)
         self.proposals, self.outcomes = [], []
         if due:
-            self.urgent = False
+            self.summary_requested = False
             self.told_at = ctx.now
             self._summary(out.summary, wanted, unreachable, reasons)
         return out.SerializeToString()
@@ -167,7 +169,7 @@
         body.complaints.extend(sorted(unreachable))
         body.full, self.full = self.full, False
         if ctx.view.loaded:
-            cancellations.tell(ctx, self.member, body.cancellations)
+            cancellations.fill_message(ctx, self.member, body.cancellations)
         self._tell_rows(body)
         if ctx.leading():
             self._tell_reasons(body, reasons)
@@ -183,11 +185,11 @@
         A frame over the limit would end the connection, and the next one begin with the same
         rows: one controller with thousands of machines would never be heard of.
         """
-        rows = self.rows.get()
+        rows = self.rows.current()
         room = ROWS_BYTES
-        for id, change in self.rows.since(self.told_change):
+        for id, change in self.rows.changed_after(self.told_change):
             if room <= 0:
-                body.more = self.urgent = True
+                body.more = self.summary_requested = True
                 break
             row = rows.get(id)
             if row is None:
@@ -196,13 +198,13 @@
                 room -= self._add_row(body, id, row)
             self.told_change = change
 
-    def _add_row(self, body: peer_pb2.Summary, id: str, row: Row) -> int:
+    def _add_row(self, body: peer_pb2.Summary, id: str, row: MachineRow) -> int:
         """Add one machine's row; its size in bytes."""
         now = self.ctx.now
         return body.machines.add(
             id=id, build=row.build, zone=row.zone, spot=row.spot, session=row.session,
-            quiet=row.quiet_since is not None,
-            silent_s=max(0.0, now - (row.quiet_since or now)),
+            quiet=row.unresponsive_since is not None,
+            silent_s=max(0.0, now - (row.unresponsive_since or now)),
             draining=row.draining, sick=row.sick, lost=row.lost, deaf=row.deaf,
             lent=row.lent, images=row.images, idle=row.idle_since is not None,
             idle_s=max(0.0, now - (row.idle_since or now)),
@@ -212,7 +214,7 @@
         """Reasons that are new or hold no more, as many as a frame has room for."""
         changed = [(name, why) for name, why in reasons.items() if self.said.get(name) != why]
         over = [(name, "") for name in self.said if name not in reasons]
-        for name, why in [*over, *changed][:REASONS]:
+        for name, why in [*over, *changed][:MAX_REASONS_PER_FRAME]:
             body.reasons[name] = why
             if why:
                 self.said[name] = why
@@ -220,19 +222,19 @@
                 del self.said[name]
 
 
-def oldest(skew_ms: float) -> float:
+def max_frame_age_s(skew_ms: float) -> float:
     """Age in seconds beyond which a frame is refused, whatever the clocks make of it."""
     return LATE_S + 4.0 * skew_ms / 1000.0 + 0.1
 
 
-def read(ctx: Context, frame: bytes) -> peer_pb2.Envelope | None:
+def decode_frame(ctx: Context, frame: bytes) -> peer_pb2.Envelope | None:
     """A sibling's frame, if it is readable, a sibling's, and the next one of its connection."""
     try:
         envelope = peer_pb2.Envelope.FromString(frame)
     except DecodeError:
         log.error("peer frame of %d bytes is not readable", len(frame))
         return None
-    if envelope.version != VERSION:
+    if envelope.version != PROTOCOL_VERSION:
         log.error("peer frame of version %d dropped", envelope.version)
         return None
     if envelope.sender not in {s.member for s in ctx.settings.siblings}:
@@ -253,7 +255,7 @@
     return envelope
 
 
-def take(ctx: Context, envelope: peer_pb2.Envelope) -> None:
+def apply_frame(ctx: Context, envelope: peer_pb2.Envelope) -> None:
     """Note what a sibling's frame says."""
     view = ctx.peers.get(envelope.sender)
     if view is None or envelope.link > view.link:
@@ -273,7 +275,7 @@
     if body.HasField("cancellations"):
         skew = 2.0 * ctx.settings.params.skew_ms / 1000.0
         late = max(0.0, ctx.wall - envelope.sent_at + skew)
-        cancellations.take(ctx, view, body.cancellations, Moment(ctx.now - late))
+        cancellations.apply_message(ctx, view, body.cancellations, Moment(ctx.now - late))
     for item in body.machines:
         machine = PeerMachine(
             item.id, item.build, item.zone, item.spot, item.session, ctx.now - item.silent_s
@@ -298,10 +300,10 @@
         ctx.finished.append((done.lane, done.seconds))
     roster = ctx.view.roster
     if roster is not None and roster.leader == envelope.sender and body.token == ctx.view.token:
-        lend(ctx, view.wanted)
+        reserve_for_gang(ctx, view.wanted)
 
 
-def lend(ctx: Context, wanted: frozenset[str]) -> None:
+def reserve_for_gang(ctx: Context, wanted: frozenset[str]) -> None:
     """Place nothing new on machines of our part while the leader wants them.
 
     What runs there already is in the records that the leader sees; what we are about to
--- a/coursefold/coordination/steps.py
+++ b/coursefold/coordination/transitions.py
@@ -8,13 +8,13 @@
 from coursefold.storage.edits import SOON, Edit
 from coursefold.storage.records import Entry, job_key
 
-Forward = Callable[[JobId, jobs.Step, Edit], bool]
+ForwardTransition = Callable[[JobId, jobs.TaskTransition, Edit], bool]
 
 
-class Steps:
+class TransitionProposer:
     """Proposes steps; `forward` brings them to the leader."""
 
-    def __init__(self, ctx: Context, forward: Forward) -> None:
+    def __init__(self, ctx: Context, forward: ForwardTransition) -> None:
         self.ctx, self.forward = ctx, forward
 
     def propose(
@@ -22,13 +22,15 @@
         rank: int = SOON,
     ) -> bool:  # fmt: skip
         """Have one task's step written; False if it is under way already."""
-        task = jobs.Task(entry.index, entry.attempt, machine=machine)
-        return self.write(job_id, jobs.Step(kind, (task,), self.ctx.me, self.ctx.wall), tag, rank)
+        task = jobs.TaskRef(entry.index, entry.attempt, machine=machine)
+        return self.write(
+            job_id, jobs.TaskTransition(kind, (task,), self.ctx.me, self.ctx.wall), tag, rank
+        )
 
     def write(
         self,
         job_id: JobId,
-        step: jobs.Step,
+        step: jobs.TaskTransition,
         tag: str,
         rank: int = SOON,
         done: Callable[[bool, str], None] | None = None,
@@ -36,7 +38,7 @@
         """Have a step of a job written; False if one with the same tag is under way."""
         edit = Edit(
             job_key(job_id),
-            step.change(),
+            step.to_change(),
             rank=rank,
             fence=self.ctx.view.token,
             tag=tag,
--- a/coursefold/coordination/upgrade.py
+++ b/coursefold/coordination/upgrade.py
@@ -54,11 +54,11 @@
         """
         return max(self.wanted_level, min(self.ctx.view.level, records.NEWEST))
 
-    def want_level(self, level: int) -> None:
+    def require_level(self, level: int) -> None:
         """A subsystem that is switched on needs these forms; said before the first tick."""
         self.wanted_level = max(self.wanted_level, level)
 
-    def announce(self) -> None:
+    def announce_version(self) -> None:
         """Write down what this process can read, in the transaction in which it joins."""
         ctx = self.ctx
         mine = Version(self.level, ctx.permit)
@@ -73,7 +73,7 @@
         key = records.version_key(ctx.me)
         ctx.queue.propose(Edit(key, change, rank=FIRST, tag=f"version{ctx.permit}"))
 
-    def speaks(self, member: str) -> bool:
+    def has_current_version(self, member: str) -> bool:
         """Has the member's live process this version? Before the switch it need not."""
         ctx = self.ctx
         if not ctx.view.level:
@@ -86,7 +86,7 @@
         known = self.ctx.view.versions.get(member)
         return known.level if live and known and known.permit == live.permit else 0
 
-    def waits_for(self) -> list[str]:
+    def controllers_without_version(self) -> list[str]:
         """Controllers without this version, as far as is known."""
         view = self.ctx.view
         return [
@@ -104,7 +104,7 @@
         ctx = self.ctx
         if not ctx.view.loaded or not ctx.permit or ctx.now >= ctx.lease_until:
             return
-        self.announce()
+        self.announce_version()
         if ctx.now - self.looked_at < LOOK_S:
             return
         self.looked_at = ctx.now
@@ -126,7 +126,7 @@
                 self.absent.pop(name, None)
             else:
                 self.absent.setdefault(name, ctx.now)
-        waits = self.waits_for()
+        waits = self.controllers_without_version()
         if waits != self.said and ctx.view.level < self.level:
             self.said = waits
             log.info("without this version: %s", ", ".join(waits) or "none")
@@ -152,7 +152,7 @@
 
     def _switch(self) -> None:
         ctx = self.ctx
-        waits = self.waits_for()
+        waits = self.controllers_without_version()
         level = self.level
         if any(ctx.now - self.absent.get(name, ctx.now) < GONE_S for name in waits):
             return
--- a/coursefold/shares/shares.py
+++ b/coursefold/shares/shares.py
@@ -23,7 +23,7 @@
         self.planner = Planner(config, self.port)
         self.durations = Durations(self.port)
         self.commands = Commands(self.port, self.planner, config.controllers)
-        core.upgrade.want_level(records.WITH_SHARES)
+        core.upgrade.require_level(records.WITH_SHARES)
         core.extensions.append(self)
 
     def tick(self) -> None:
--- a/tests/production.py
+++ b/tests/production.py
@@ -47,6 +47,25 @@
     )
 
 
+# New names of attributes that tests use on both versions: module, class, new name, old name.
+ALIASES: dict[str, dict[str, dict[str, str]]] = {
+    "coordination.forward": {"Forwarding": {"receive_proposals": "proposals"}},
+}
+
+
+def _alias(old: str) -> property:
+    return property(lambda self: getattr(self, old), lambda self, to: setattr(self, old, to))
+
+
+def _add_aliases() -> None:
+    """Give production's classes the names that this version has for the same attributes."""
+    for module, classes in ALIASES.items():
+        for name, attributes in classes.items():
+            kind = getattr(importlib.import_module(f"{NAME}.{module}"), name)
+            for new, old in attributes.items():
+                setattr(kind, new, _alias(old))
+
+
 KINDS = ("Answer", "CloudCall", "Direct", "Read", "Tell", "Vouch")
 OURS = _version("ours", "coursefold")
 
@@ -81,6 +100,7 @@
         sys.path.insert(0, str(folder))
         try:
             importlib.import_module(NAME)
+            _add_aliases()
             return _version("production", NAME)
         finally:
             sys.path.remove(str(folder))
--- a/tests/test_cells_input.py
+++ b/tests/test_cells_input.py
@@ -639,7 +639,7 @@
     entries = [Entry(n, records.PLACED, 3, "n0", "a", f"i-{n}", 1) for n in range(4)]
     gang = guest_job(GuestStage.GRANTED, entries=entries)
     gang = msgspec.structs.replace(gang, spec=spec(Pieces=4, Shape="ensemble"))
-    done = jobs.finish(0, "i-0", 3)(gang)
+    done = jobs.mark_done(0, "i-0", 3)(gang)
     assert isinstance(done, JobRecord)
     assert done.guest is not None
     assert done.guest.stage == GuestStage.FINISHED
@@ -658,8 +658,8 @@
 def test_nothing_of_a_job_is_placed_where_it_may_not_start(record: JobRecord) -> None:
     """Whatever a leader believes: the record decides."""
     for change in (
-        jobs.deal([jobs.Dealt(0, "n0", "a", "i-1")]),
-        jobs.place("n0", [jobs.Task(0, 0, "a", "i-1", 1)]),
+        jobs.assign([jobs.Assignment(0, "n0", "a", "i-1")]),
+        jobs.place("n0", [jobs.TaskRef(0, 0, "a", "i-1", 1)]),
         jobs.place_gang([("n0", "a", "i-1", 1)] * 4),
     ):
         with pytest.raises(NotApplicableError):
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -86,7 +86,7 @@
     """A step may come twice, by the leader and by the owner itself."""
     placed = JobRecord(job(), 0.0, attempt=1, entries=[Entry(0, PLACED, 1, "n1", "a", "i-1", 1)])
     with pytest.raises(NotApplicableError):
-        jobs.place("n1", [jobs.Task(0, 0, "a", "i-2", 1)])(placed)
+        jobs.place("n1", [jobs.TaskRef(0, 0, "a", "i-2", 1)])(placed)
 
 
 def test_classes_go_where_they_displace_least() -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -5,7 +5,13 @@
 from coursefold.coordination import cancellations
 from coursefold.coordination.context import Context, Machine
 from coursefold.coordination.queueing import optimum
-from coursefold.coordination.summary import REASONS, Rows, Teller, read, take
+from coursefold.coordination.summary import (
+    MAX_REASONS_PER_FRAME,
+    MachineRows,
+    PeerFrameBuilder,
+    apply_frame,
+    decode_frame,
+)
 from coursefold.policy.language import parse
 from coursefold.protocol.ids import JobId, Moment
 from coursefold.storage import records
@@ -26,15 +32,15 @@
         self.ctx = ctx
         self.frames: list[bytes] = []
 
-    def hears(self, teller: Teller, reasons: dict[JobId, str]) -> int:
+    def hears(self, teller: PeerFrameBuilder, reasons: dict[JobId, str]) -> int:
         """Take frames until nothing waits; how many came."""
         count = 0
-        while frame := teller.frame(set(), set(), reasons):
+        while frame := teller.build_frame(set(), set(), reasons):
             count += 1
             self.frames.append(frame)
-            envelope = read(self.ctx, frame)
+            envelope = decode_frame(self.ctx, frame)
             assert envelope is not None
-            take(self.ctx, envelope)
+            apply_frame(self.ctx, envelope)
         return count
 
 
@@ -74,7 +80,7 @@
     world = leading_world()
     ctx = world.core.ctx
     names = add_machines(ctx, MACHINES)
-    teller = Teller(ctx, Rows(ctx), "n1")
+    teller = PeerFrameBuilder(ctx, MachineRows(ctx), "n1")
     sibling = listener(world)
     assert sibling.hears(teller, {}) > 2
     assert max(map(len, sibling.frames)) < FRAME_LIMIT
@@ -89,11 +95,11 @@
     world = leading_world()
     ctx = world.core.ctx
     names = add_machines(ctx, MACHINES)
-    teller = Teller(ctx, Rows(ctx), "n1")
+    teller = PeerFrameBuilder(ctx, MachineRows(ctx), "n1")
     sibling = listener(world)
-    envelope = read(sibling.ctx, teller.frame(set(), set(), {}))
+    envelope = decode_frame(sibling.ctx, teller.build_frame(set(), set(), {}))
     assert envelope is not None
-    take(sibling.ctx, envelope)
+    apply_frame(sibling.ctx, envelope)
     known = sibling.ctx.peers["n0"]
     assert len(known.machines) < len(names)
     assert not known.complete
@@ -101,17 +107,19 @@
 
 def test_all_reasons_are_told() -> None:
     world = leading_world()
-    teller = Teller(world.core.ctx, Rows(world.core.ctx), "n1")
+    teller = PeerFrameBuilder(world.core.ctx, MachineRows(world.core.ctx), "n1")
     sibling = listener(world)
-    reasons = {JobId(f"job-{number}"): f"waits {number}" for number in range(4 * REASONS + 7)}
+    reasons = {
+        JobId(f"job-{number}"): f"waits {number}" for number in range(4 * MAX_REASONS_PER_FRAME + 7)
+    }
     for _ in range(6):
-        teller.urgent = True
+        teller.summary_requested = True
         sibling.hears(teller, reasons)
     assert sibling.ctx.peers["n0"].reasons == reasons
-    teller.urgent = True
+    teller.summary_requested = True
     few = dict.fromkeys(list(reasons)[:3], "other")
     for _ in range(6):
-        teller.urgent = True
+        teller.summary_requested = True
         sibling.hears(teller, few)
     assert sibling.ctx.peers["n0"].reasons == few
 
@@ -122,14 +130,14 @@
     assert ctx.roster is not None
     ctx.view.roster = structs.replace(ctx.roster, leader="n1")
     ctx.finished.extend(("batch", float(number)) for number in range(900))
-    teller = Teller(ctx, Rows(ctx), "n1")
+    teller = PeerFrameBuilder(ctx, MachineRows(ctx), "n1")
     sibling = listener(world)
     for _ in range(3):
-        teller.urgent = True
+        teller.summary_requested = True
         sibling.hears(teller, {})
     assert len(sibling.ctx.finished) == 900
     ctx.finished.extend(("batch", 1.0) for _ in range(100_000))
-    Teller(ctx, Rows(ctx), "n2").frame(set(), set(), {})
+    PeerFrameBuilder(ctx, MachineRows(ctx), "n2").build_frame(set(), set(), {})
     assert len(ctx.finished) < 5000
 
 
@@ -166,11 +174,11 @@
 
 def test_as_many_cancellations_are_told_as_are_confirmed_in_some_seconds() -> None:
     ctx = World().core.ctx
-    assert cancellations.most_told(ctx) == 1000
+    assert cancellations.max_cancellations_per_frame(ctx) == 1000
     params = ctx.settings.params
     state = structs.replace(params.state, write_rps=400.0)
     ctx.settings = structs.replace(ctx.settings, params=structs.replace(params, state=state))
-    assert cancellations.most_told(ctx) == 4000
+    assert cancellations.max_cancellations_per_frame(ctx) == 4000
 
 
 def test_4000_machines_are_rented_and_filled_on_cheap_ticks() -> None:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -9,7 +9,7 @@
 from coursefold.coordination import jobs as edits
 from coursefold.coordination.demand import Need, Planner, PoolId, Runs
 from coursefold.coordination.placement import Market, Picker, Refused, Room
-from coursefold.coordination.requests import Purpose, Question
+from coursefold.coordination.requests import PendingRequest, Purpose
 from coursefold.protocol.ids import JobId, Moment, WallTime
 from coursefold.protocol.wire import Catalog, Job, MachineType, decode, encode
 from coursefold.storage import codec, records
@@ -132,8 +132,8 @@
 
 def test_a_flood_of_unknown_names_is_bounded() -> None:
     world = switched()
-    waiting = Question(Purpose.RESOLVE, JobId("job-1"), None)
-    world.core.requests.asking.update({-n: waiting for n in range(1, 3000)})
+    waiting = PendingRequest(Purpose.RESOLVE, JobId("job-1"), None)
+    world.core.requests.pending.update({-n: waiting for n in range(1, 3000)})
     answer = world.submit("job-2", Prereqs=["job-404"])
     assert answer is not None
     assert answer.status == 503
@@ -226,13 +226,13 @@
     spec = decode(encode(JOB | {"NameId": "job-2"}), Job)
     record = JobRecord(spec, 0.0, needs=["job-1"])
     for change in (
-        edits.deal([edits.Dealt(0, "n0", "a", "i-1")]),
-        edits.place("n0", [edits.Task(0, 0, "a", "i-1", 1)]),
+        edits.assign([edits.Assignment(0, "n0", "a", "i-1")]),
+        edits.place("n0", [edits.TaskRef(0, 0, "a", "i-1", 1)]),
         edits.place_gang([("n0", "a", "i-1", 1)]),
     ):
         with pytest.raises(NotApplicableError, match="waits for other jobs"):
             change(record)
-        free = edits.release(7.0)(record)
+        free = edits.clear_prerequisites(7.0)(record)
         assert isinstance(free, JobRecord)
         assert free.ready == 7.0
         change(free)
@@ -262,7 +262,7 @@
     accepted(world, "job-2", "job-1")
     world.store.set(records.ending_key(JobId("job-1")), [records.CANCELLED, 1])
     world.store.commit(0.0, {"Then": [{"Remove": key("job-1")}]})
-    monkeypatch.setattr(requests, "RESOLVE_S", 1e12)
+    monkeypatch.setattr(requests, "RESOLVE_INTERVAL_S", 1e12)
     world.restart()
     assert status(world, "job-2") == 503  # never an older state
     monkeypatch.undo()
@@ -415,12 +415,12 @@
         world.report("i-000000", [], Counter=counter)
         world.run(world.now + 1.0)
     assert world.core.view.occupies("i-000000")
-    summary.lend(world.core.ctx, frozenset(["i-000000"]))
+    summary.reserve_for_gang(world.core.ctx, frozenset(["i-000000"]))
     lent = world.core.ctx.machines["i-000000"].lent_until
     assert lent > world.core.ctx.now
     world.core.ctx.pending[("job-2", 0)] = ("i-000000", SMALL)  # what we are about to place
     world.enter().at(Moment(lent + 1.0), WallTime(EPOCH))
-    summary.lend(world.core.ctx, frozenset(["i-000000"]))
+    summary.reserve_for_gang(world.core.ctx, frozenset(["i-000000"]))
     assert world.core.ctx.machines["i-000000"].lent_until == lent
 
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -104,7 +104,7 @@
         def done(ok: bool, why: str) -> None:
             told[index].append(ok)
 
-        return Edit(key, jobs.deal([jobs.Dealt(index, "n0", "a", "i-1")]), done=done)
+        return Edit(key, jobs.assign([jobs.Assignment(index, "n0", "a", "i-1")]), done=done)
 
     for index in range(count):
         assert queue.propose(take(index))
@@ -176,7 +176,7 @@
 
 def test_void_edits_say_why() -> None:
     done = JobRecord(SPEC, 0.0, done=[(0, 3)])
-    place_again = jobs.place("n0", [jobs.Task(2, 0, "a", "i-1", 1)])
+    place_again = jobs.place("n0", [jobs.TaskRef(2, 0, "a", "i-1", 1)])
     with pytest.raises(NotApplicableError, match=r"^nothing of it is ours to place$"):
         place_again(done)
 
@@ -187,10 +187,10 @@
     first = jobs.place_gang(places)(JobRecord(spec, 0.0))
     assert isinstance(first, JobRecord)
     assert [e.attempt for e in first.entries] == [1, 1]
-    half = jobs.gone(0, "i-1", 1)(first)
+    half = jobs.mark_gone(0, "i-1", 1)(first)
     with pytest.raises(NotApplicableError):
         jobs.place_gang(places)(half if isinstance(half, JobRecord) else None)
-    rest = jobs.gone(1, "i-2", 1)(half if isinstance(half, JobRecord) else None)
+    rest = jobs.mark_gone(1, "i-2", 1)(half if isinstance(half, JobRecord) else None)
     again = jobs.place_gang(places)(rest if isinstance(rest, JobRecord) else None)
     assert isinstance(again, JobRecord)
     assert [e.attempt for e in again.entries] == [2, 2]
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from coursefold.coordination.summary import Rows
+from coursefold.coordination.summary import MachineRows
 from tests.world import World
 
 MACHINE = "i-000000"
@@ -10,8 +10,8 @@
 
 def is_told_as_quiet(world: World) -> bool:
     """Would a sibling be told, from now on, that the machine is silent?"""
-    row = Rows(world.core.ctx).get()[MACHINE]
-    return row.quiet_since is not None
+    row = MachineRows(world.core.ctx).current()[MACHINE]
+    return row.unresponsive_since is not None
 
 
 @pytest.mark.parametrize("silent_s", [6.0, 6.5, 7.0, 7.5, 8.0])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -64,7 +64,7 @@
     asked = 0
     for at, (sender, _, text) in enumerate(kept["frames"], 1):
         envelope = peer_pb2.Envelope.FromString(bytes.fromhex(text))
-        assert (envelope.version, envelope.sender) == (summary.VERSION, sender)
+        assert (envelope.version, envelope.sender) == (summary.PROTOCOL_VERSION, sender)
         assert envelope.summary.full or envelope.proposals or envelope.outcomes
         # As the first frame of a connection made now; what it says is production's own.
         envelope.sender, envelope.sent_at = "n1", world.core.ctx.wall
@@ -83,7 +83,7 @@
     sibling = next(n.name for n in fleet.nodes if n is not leader)
     before = fleet.store.ledger
     strange = peer_pb2.Proposal(id=7, token=leader.core.view.token, job="job-1", kind="orphan")
-    leader.core.forwarding.proposals(sibling, [strange])
+    leader.core.forwarding.receive_proposals(sibling, [strange])
     assert [(o.id, o.ok) for o in leader.core.tellers[sibling].outcomes][-1] == (7, False)
     assert fleet.store.ledger == before
 
@@ -427,7 +427,7 @@
     lowered.store.txn_ops, lowered.store.value_bytes = 5, 2048
     said: list[tuple[bool, str]] = []
     for number in range(2):
-        gone = edits.gone(number, big.entries[number].machine, 1)
+        gone = edits.mark_gone(number, big.entries[number].machine, 1)
         lowered.queue.propose(Edit(key, gone, done=lambda ok, why: said.append((ok, why))))
     assert lowered.run(9) == 1
     assert said == []
