--- a/coursefold/coordination/owner_placement.py
+++ b/coursefold/coordination/owner_placement.py
@@ -11,7 +11,7 @@
     MachineCapacity,
     PlacementSearch,
 )
-from coursefold.coordination.steps import Steps
+from coursefold.coordination.transitions import TransitionProposer
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 from coursefold.storage.edits import LATER, SOON
@@ -25,7 +25,7 @@
 class OwnerPlacement:
     """Chooses machines in our part."""
 
-    def __init__(self, ctx: Context, steps: Steps) -> None:
+    def __init__(self, ctx: Context, steps: TransitionProposer) -> None:
         self.ctx, self.steps = ctx, steps
         self.dealt_since: dict[tuple[str, int], float] = {}
 
@@ -48,13 +48,13 @@
         rooms: list[MachineCapacity] | None = None
         refused = FailedSearches()
         extra = self._under_way()
-        found: dict[JobId, list[jobs.Task]] = {}
+        found: dict[JobId, list[jobs.TaskRef]] = {}
         for name, job, entry in mine:
             # The hint's own share is what we look for: its room counts as taken for us.
             room = ctx.room(entry.machine)
             if room is not None and self._fits(room, entry, extra.get(room.id, ())):
                 found.setdefault(name, []).append(
-                    jobs.Task(entry.index, 0, room.zone, room.id, room.session)
+                    jobs.TaskRef(entry.index, 0, room.zone, room.id, room.session)
                 )
                 continue
             if rooms is None:
@@ -69,7 +69,7 @@
             if room is not None:
                 extra.setdefault(room.id, []).append(job.spec)
                 found.setdefault(name, []).append(
-                    jobs.Task(entry.index, 0, room.zone, room.id, room.session)
+                    jobs.TaskRef(entry.index, 0, room.zone, room.id, room.session)
                 )
                 continue
             since = self.dealt_since.setdefault((name, entry.index), ctx.now)
@@ -99,7 +99,7 @@
             and min(room.cpus, room.gpus, room.memory_gb) >= -SLACK
         )
 
-    def propose_placement(self, name: JobId, job: JobRecord, tasks: list[jobs.Task]) -> None:
+    def propose_placement(self, name: JobId, job: JobRecord, tasks: list[jobs.TaskRef]) -> None:
         """Write a job's new places, all at once; until then they count as taken."""
         ctx = self.ctx
         for task in tasks:
@@ -114,5 +114,5 @@
             else:
                 log.debug("place %s on %s: %s", name, where, why)
 
-        step = jobs.Step("place", tuple(tasks), ctx.me)
+        step = jobs.TaskTransition("place", tuple(tasks), ctx.me)
         self.steps.write(name, step, "", SOON, settled)
