--- a/coursefold/coordination/context.py
+++ b/coursefold/coordination/context.py
@@ -3,7 +3,7 @@
 from coursefold.coordination.effects import Effect
 from coursefold.coordination.grants import GrantExpiry
 from coursefold.coordination.ownership import OwnershipTable
-from coursefold.coordination.placement import Market, Room
+from coursefold.coordination.placement import MachineCapacity, PriceIndex
 from coursefold.coordination.rendezvous import hash_owner
 from coursefold.policy import Policy
 from coursefold.protocol.ids import JobId, Member, Moment, WallTime
@@ -140,7 +140,7 @@
         self._owners_at = -1
         self._kinds: dict[str, MachineType] = {}
         self._kinds_of: Catalog | None = None
-        self._market = Market()
+        self._market = PriceIndex()
         self._market_at = -1e9
 
     @property
@@ -230,20 +230,20 @@
             self._kinds = {t.name: t for t in catalog.builds} if catalog else {}
         return self._kinds.get(build)
 
-    def price_index(self) -> Market:
+    def price_index(self) -> PriceIndex:
         """By one job of each class; looked at anew now and then."""
         catalog = self.view.catalog
         if catalog is not None and self.now - self._market_at > MARKET_S:
             lanes = {job.spec.lane: job.spec for job in self.view.jobs.values()}
-            self._market, self._market_at = Market(catalog.builds, lanes.values()), self.now
+            self._market, self._market_at = PriceIndex(catalog.builds, lanes.values()), self.now
         return self._market
 
-    def machine_capacity(self, id: str) -> Room | None:
+    def machine_capacity(self, id: str) -> MachineCapacity | None:
         """One machine of our part, if it can take tasks."""
         m = self.machines.get(id)
         return self._room(m) if m is not None else None
 
-    def _room(self, m: Machine) -> Room | None:
+    def _room(self, m: Machine) -> MachineCapacity | None:
         kind = self.machine_type(m.machine_type)
         if (
             kind is None
@@ -256,17 +256,19 @@
             or not self.owns(m.id, m.zone)
         ):
             return None
-        room = Room(
+        room = MachineCapacity(
             m.id, kind, m.zone, m.spot, self.own_name, m.session, self.view.load(m.id), m.images
         )
-        room.draining = m.recall_at is not None or self.ownership.is_draining(m.id, self.wall_time)
-        room.lent = m.gang_reservation_until > self.now
+        room.is_unschedulable = m.recall_at is not None or self.ownership.is_draining(
+            m.id, self.wall_time
+        )
+        room.reserved_for_gang = m.gang_reservation_until > self.now
         room.idle_since = m.idle_since
         return room
 
-    def available_machines(self, mine_only: bool = False) -> list[Room]:
+    def available_machines(self, mine_only: bool = False) -> list[MachineCapacity]:
         """Machines that can take tasks, with what is free after all entries and plans."""
-        rooms: dict[str, Room] = {}
+        rooms: dict[str, MachineCapacity] = {}
         for m in self.machines.values():
             room = self._room(m)
             if room is not None:
@@ -280,12 +282,12 @@
                 if entry.machine == machine:
                     continue
                 if (was := rooms.get(entry.machine)) is not None:
-                    was.give(spec)
+                    was.release(spec)
             if (found := rooms.get(machine)) is not None:
-                found.take(spec)
+                found.reserve(spec)
         return list(rooms.values())
 
-    def _peer_rooms(self, rooms: dict[str, Room]) -> None:
+    def _peer_rooms(self, rooms: dict[str, MachineCapacity]) -> None:
         roster = self.view.roster
         if roster is None:
             return
@@ -301,10 +303,12 @@
                 kind = kind_of(pm.machine_type)
                 if kind is None or owner(pm.id, pm.zone) != member:
                     continue
-                room = Room(
+                room = MachineCapacity(
                     pm.id, kind, pm.zone, pm.spot, member, pm.session, load(pm.id), pm.images
                 )
-                room.draining = pm.draining or self.ownership.is_draining(pm.id, self.wall_time)
-                room.lent = pm.reserved_for_gang
+                room.is_unschedulable = pm.draining or self.ownership.is_draining(
+                    pm.id, self.wall_time
+                )
+                room.reserved_for_gang = pm.reserved_for_gang
                 room.idle_since = pm.idle_since
                 rooms[pm.id] = room
--- a/coursefold/coordination/lease_renewal.py
+++ b/coursefold/coordination/lease_renewal.py
@@ -76,7 +76,7 @@
         peer = ctx.peers.get(owner)
         roster = ctx.view.roster
         member = roster.member(owner) if roster else None
-        max_age_s = summary.oldest(ctx.settings.params.skew_ms)
+        max_age_s = summary.max_frame_age_s(ctx.settings.params.skew_ms)
         return (
             peer is not None
             and member is not None
--- a/coursefold/coordination/owner.py
+++ b/coursefold/coordination/owner.py
@@ -11,9 +11,9 @@
 from coursefold.coordination.effects import Response
 from coursefold.coordination.election import Election
 from coursefold.coordination.lease_renewal import LeaseRenewal
-from coursefold.coordination.placing import Placing
+from coursefold.coordination.owner_placement import OwnerPlacement
 from coursefold.coordination.response_monitor import ResponseMonitor
-from coursefold.coordination.steps import Forward, Steps
+from coursefold.coordination.transitions import ForwardTransition, TransitionProposer
 from coursefold.protocol.ids import parse_task
 from coursefold.protocol.wire import Order, Report
 from coursefold.storage.records import DEALT
@@ -29,13 +29,13 @@
 class Owner:
     """Acts for the machines whose hash falls to this node."""
 
-    def __init__(self, ctx: Context, election: Election, forward: Forward) -> None:
+    def __init__(self, ctx: Context, election: Election, forward: ForwardTransition) -> None:
         self.ctx, self.election = ctx, election
-        steps = Steps(ctx, forward)
+        steps = TransitionProposer(ctx, forward)
         self.response_monitor = ResponseMonitor(ctx)
         self.lease_renewal = LeaseRenewal(ctx)
         self.command_planner = CommandPlanner(ctx, steps)
-        self.placing = Placing(ctx, steps)
+        self.placing = OwnerPlacement(ctx, steps)
         self.swept_at = -1e9
         self.swept_token = -1
         self.departed_sequences: dict[str, tuple[int, int]] = {}
@@ -61,7 +61,7 @@
             if ctx.now - ctx.watch_ok_at > ctx.max_view_age_s() or owner is None:
                 self._refuse(ticket)
                 return
-            self.election.note_misdirected(owner, report.machine)
+            self.election.record_misdirected(owner, report.machine)
             ctx.effects.append(Response(ticket, 421, {"Foreman": owner}))
             return
         if not self._may_command(report.machine, report.token):
@@ -155,7 +155,7 @@
         orders = []
         for item in report.tasks:
             task = parse_task(item.task)
-            off = task is not None and cancellations.is_off(ctx, task.job)
+            off = task is not None and cancellations.is_cancelled_or_expired(ctx, task.job)
             if off and item.state != "exited":
                 orders.append(Order("stop", item.task, item.attempt, 0.0))
         self._accept(machine, ticket, orders)
@@ -213,7 +213,7 @@
         if ctx.now - self.swept_at >= SWEEP_S or self.swept_token != ctx.view.token:
             self.swept_at, self.swept_token = ctx.now, ctx.view.token
             self._sweep()
-        self.placing.place()
+        self.placing.place_assigned_tasks()
 
     def _sweep(self) -> None:
         """Which of our machines are silent."""
--- a/tests/test_cells_input.py
+++ b/tests/test_cells_input.py
@@ -37,13 +37,7 @@
 from coursefold.protocol.wire import Catalog, Job, decode, encode
 from coursefold.settings import Settings, SettingsError, load, split_address
 from coursefold.storage import codec, records
-from coursefold.storage.cell_records import (
-    Away,
-    AwayStage,
-    CellLink,
-    Guest,
-    GuestStage,
-)
+from coursefold.storage.cell_records import Away, AwayStage, CellLink, Guest, GuestStage
 from coursefold.storage.edits import NotApplicableError, Remove
 from coursefold.storage.records import Ending, Entry, JobRecord
 from coursefold.storage.view import View
@@ -616,9 +610,9 @@
 def test_a_guest_is_dealt_only_under_a_grant(held_s: float, waits: bool) -> None:
     cells = guest_world(GuestStage.GRANTED, held_s)
     leader = cells.core.leader
-    names = [wait.name for wait in leader.queue(cells.port.quota())]
+    names = [wait.name for wait in leader.list_queued_jobs(cells.port.quota())]
     assert (NAME in names) is waits
-    assert ("grant has ended" in leader.reasons.get(NAME, "")) is not waits
+    assert ("grant has ended" in leader.waiting_reasons.get(NAME, "")) is not waits
 
 
 @pytest.mark.parametrize("patient_s", [0.0, 130.0])
@@ -630,7 +624,7 @@
     view.keep(records.job_key(NAME), urgent, 10**6 + 1)
     own = JobId("job-2")
     view.keep(records.job_key(own), JobRecord(spec(NameId=own), ctx.wall_time), 10**6 + 1)
-    order = [wait.name for wait in cells.core.leader.queue(cells.port.quota())]
+    order = [wait.name for wait in cells.core.leader.list_queued_jobs(cells.port.quota())]
     assert order == ([own, NAME] if patient_s == 0.0 else [NAME, own])
 
 
@@ -639,7 +633,7 @@
     entries = [Entry(n, records.PLACED, 3, "n0", "a", f"i-{n}", 1) for n in range(4)]
     gang = guest_job(GuestStage.GRANTED, entries=entries)
     gang = msgspec.structs.replace(gang, spec=spec(Pieces=4, Shape="ensemble"))
-    done = jobs.finish(0, "i-0", 3)(gang)
+    done = jobs.mark_done(0, "i-0", 3)(gang)
     assert isinstance(done, JobRecord)
     assert done.guest is not None
     assert done.guest.stage == GuestStage.FINISHED
@@ -658,8 +652,8 @@
 def test_nothing_of_a_job_is_placed_where_it_may_not_start(record: JobRecord) -> None:
     """Whatever a leader believes: the record decides."""
     for change in (
-        jobs.deal([jobs.Dealt(0, "n0", "a", "i-1")]),
-        jobs.place("n0", [jobs.Task(0, 0, "a", "i-1", 1)]),
+        jobs.assign([jobs.Assignment(0, "n0", "a", "i-1")]),
+        jobs.place("n0", [jobs.TaskRef(0, 0, "a", "i-1", 1)]),
         jobs.place_gang([("n0", "a", "i-1", 1)] * 4),
     ):
         with pytest.raises(NotApplicableError):
