--- a/coursefold/coordination/commands.py
+++ b/coursefold/coordination/commands.py
@@ -27,7 +27,7 @@
     """Finds commands for machines of our part, and has exits written."""
 
     def __init__(self, ctx: Context, steps: TransitionProposer) -> None:
-        self.ctx, self.steps = ctx, steps
+        self.ctx, self.transitions = ctx, steps
 
     def commands_for_report(self, machine: Machine, report: Report) -> list[Order]:
         """Compare what is there with what should be, and command the difference."""
@@ -98,7 +98,7 @@
 
     def propose_gone(self, job_id: JobId, entry: Entry, machine: Machine) -> None:
         """Have it written that a task's place is proven gone."""
-        self.steps.propose(job_id, "gone", entry, f"gone{entry.index}", machine=machine.id)
+        self.transitions.propose(job_id, "gone", entry, f"gone{entry.index}", machine=machine.id)
 
     def _drain(self, machine: Machine, job_id: JobId, job: JobRecord, entry: Entry) -> None:
         """Save a task's progress before its machine is taken."""
@@ -108,7 +108,7 @@
         report = self.ctx.settings.params.workers.report_s
         if job.spec.save < left < job.spec.save + 2.5 * report + 2.0:
             kind = "stop_all" if job.spec.shape == "ensemble" else "stop"
-            self.steps.propose(job_id, kind, entry, f"stop{entry.index}")
+            self.transitions.propose(job_id, kind, entry, f"stop{entry.index}")
 
     def _exited(self, machine: Machine, job_id: JobId, entry: Entry, item: TaskReport) -> None:
         """Record an exit; `forget` follows once it is recorded."""
@@ -127,7 +127,7 @@
                 self._suspect(machine, job_id, job)
         else:
             kind = "gone"
-        if self.steps.propose(job_id, kind, entry, tag, machine=machine.id):
+        if self.transitions.propose(job_id, kind, entry, tag, machine=machine.id):
             if begun is not None:
                 ctx.finished_runs.append((job.spec.lane, ctx.now - begun))
             log.info(
--- a/coursefold/coordination/inventory.py
+++ b/coursefold/coordination/inventory.py
@@ -324,7 +324,7 @@
         return not machine.is_up and age > LATE_BOOTS * self._boot_s(machine)
 
     def _boot_s(self, machine: RentedMachine) -> float:
-        kind = self.ctx.machine_type(machine.machine_type)
+        kind = self.ctx.find_machine_type(machine.machine_type)
         return kind.boot if kind else DEFAULT_BOOT_S
 
     def _reports(self, machine: RentedMachine) -> bool:
--- a/coursefold/coordination/leader.py
+++ b/coursefold/coordination/leader.py
@@ -369,7 +369,7 @@
             else:
                 deals.append(jobs.Assignment(number, room.owner, room.zone, room.id))
         if places:
-            self.owner.placing.propose_placement(name, job, places)
+            self.owner.owner_placement.propose_placement(name, job, places)
         if deals:
             self._deal(name, job, deals)
 
--- a/coursefold/coordination/owner.py
+++ b/coursefold/coordination/owner.py
@@ -35,9 +35,9 @@
         self.response_monitor = ResponseMonitor(ctx)
         self.lease_renewal = LeaseRenewal(ctx)
         self.command_planner = CommandPlanner(ctx, steps)
-        self.placing = OwnerPlacement(ctx, steps)
-        self.swept_at = -1e9
-        self.swept_token = -1
+        self.owner_placement = OwnerPlacement(ctx, steps)
+        self.scanned_at = -1e9
+        self.scanned_token = -1
         self.departed_sequences: dict[str, tuple[int, int]] = {}
 
     # Reports
@@ -166,7 +166,7 @@
         if report.session != machine.session:
             machine.running_since.clear()
             machine.stops_sent.clear()
-            machine.images.clear() if machine.session == 0 else None
+            machine.cached_images.clear() if machine.session == 0 else None
         machine.session, machine.sequence, machine.token = (
             report.session,
             report.counter,
@@ -186,8 +186,8 @@
             machine.tasks[(task.job, task.number)] = item
             job = ctx.view.jobs.get(task.job)
             if job is not None and item.state in ("running", "gathering", "flushing"):
-                kind = ctx.machine_type(machine.machine_type)
-                machine.remember_image(
+                kind = ctx.find_machine_type(machine.machine_type)
+                machine.record_image_use(
                     job.spec.image, job.spec.image_gb, kind.cache_gb if kind else 0.0
                 )
             attempt = (task.job, task.number, item.attempt)
@@ -210,10 +210,10 @@
             machine = ctx.machines.get(name)
             if machine is not None and not machine.lease_expired:
                 self.command_planner.send_stops(machine)
-        if ctx.now - self.swept_at >= SWEEP_S or self.swept_token != ctx.view.token:
-            self.swept_at, self.swept_token = ctx.now, ctx.view.token
+        if ctx.now - self.scanned_at >= SWEEP_S or self.scanned_token != ctx.view.token:
+            self.scanned_at, self.scanned_token = ctx.now, ctx.view.token
             self._sweep()
-        self.placing.place_assigned_tasks()
+        self.owner_placement.place_assigned_tasks()
 
     def _sweep(self) -> None:
         """Which of our machines are silent."""
--- a/coursefold/coordination/owner_placement.py
+++ b/coursefold/coordination/owner_placement.py
@@ -59,7 +59,7 @@
                 )
                 continue
             if rooms is None:
-                rooms = ctx.available_machines(mine_only=True)
+                rooms = ctx.available_machines(own_only=True)
             room = None
             if not refused.covers(job.spec, entry.zone):
                 room = PlacementSearch(
--- a/coursefold/coordination/pools.py
+++ b/coursefold/coordination/pools.py
@@ -151,7 +151,7 @@
         rooms = [r for r in ctx.available_machines() if r.id not in inventory.returning]
         have = {r.id for r in rooms}
         for machine in inventory.machines.values():
-            kind = ctx.machine_type(machine.machine_type)
+            kind = ctx.find_machine_type(machine.machine_type)
             if machine.id in have or machine.id in inventory.returning:
                 continue
             if machine.is_up and not inventory.is_recently_handed_over(machine):
--- a/coursefold/coordination/requests.py
+++ b/coursefold/coordination/requests.py
@@ -396,7 +396,7 @@
         peer = ctx.peers.get(roster.leader) if roster else None
         if peer is None or ctx.now - peer.last_frame_at > 5.0:
             return "nobody leads at the moment"
-        return peer.reasons.get(name, "")
+        return peer.waiting_reasons.get(name, "")
 
     def forget_ticket(self, ticket: int) -> None:
         """The asker has gone or was told to come back."""
--- a/coursefold/coordination/summary.py
+++ b/coursefold/coordination/summary.py
@@ -107,7 +107,7 @@
                     m.last_report_at if m.unresponsive else None,
                     m.recall_at is not None or not m.receives_responses, m.quarantined,
                     m.gang_reservation_until > ctx.now, m.idle_since if idle else None,
-                    m.lease_expired, m.responses_lost, tuple(m.images),
+                    m.lease_expired, m.responses_lost, tuple(m.cached_images),
                 )  # fmt: skip
         return rows
 
@@ -294,9 +294,9 @@
             item.lost,
         )
         machine.unresponsive, machine.responses_lost = item.quiet, item.deaf
-        machine.reserved_for_gang, machine.idle = item.lent, item.idle
+        machine.reserved_for_gang, machine.is_idle = item.lent, item.idle
         machine.idle_since = ctx.now - item.idle_s
-        machine.images = frozenset(item.images)
+        machine.cached_images = frozenset(item.images)
         view.machines[item.id] = machine
     for id in body.dropped:
         view.machines.pop(id, None)
@@ -305,9 +305,9 @@
     view.unreachable_for_workers = frozenset(body.complaints)
     for name, why in body.reasons.items():
         if why:
-            view.reasons[name] = why
+            view.waiting_reasons[name] = why
         else:
-            view.reasons.pop(name, None)
+            view.waiting_reasons.pop(name, None)
     for done in body.finished:
         ctx.finished_runs.append((done.lane, done.seconds))
     roster = ctx.view.roster
--- a/coursefold/shares/commands.py
+++ b/coursefold/shares/commands.py
@@ -133,7 +133,7 @@
             raise RefusedError(422, "To: the same controller as From")
         if not port.ctx.wall_time < command.until < port.ctx.wall_time + LONGEST_S:
             raise RefusedError(422, "Until: has to be later than now, and within a year")
-        if port.ctx.machine_type(command.type) is None:
+        if port.ctx.find_machine_type(command.type) is None:
             raise RefusedError(422, f"Type: {command.type} is no machine type")
         if command.zone and command.zone not in port.ctx.settings.params.zones:
             raise RefusedError(422, f"Zone: {command.zone} is no zone")
--- a/coursefold/shares/port.py
+++ b/coursefold/shares/port.py
@@ -269,7 +269,7 @@
 
     def save_and_stop(self, job: JobId, entry: Entry) -> bool:
         """Have a task stopped with time to save its progress."""
-        steps = self.core.owner.command_planner.steps
+        steps = self.core.owner.command_planner.transitions
         return steps.propose(job, "stop", entry, f"stop{entry.index}")
 
     # Writing
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -131,7 +131,7 @@
     leader, ctx = world.core.leader, world.core.ctx
     array = job(Lane="array", Vcpus=10.0, MemoryGb=54.0)
     replica = job(Lane="web", Shape="standing", Vcpus=5.0, MemoryGb=19.0)
-    ctx._market, ctx._market_at = PriceIndex([SMALL, LARGE], [array, replica]), ctx.now
+    ctx._price_index, ctx._price_index_at = PriceIndex([SMALL, LARGE], [array, replica]), ctx.now
     leader.booting_offerings, leader.available_types = [MachineOffering("g2", "a", False)], {"g8"}
     assert leader._should_wait_for_type(replica)
     assert not leader._should_wait_for_type(array)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -70,7 +70,7 @@
     for name in names:
         machine = Machine(name, "g2", "a", False)
         machine.session, machine.token_confirmed, machine.last_report_at = 1, True, ctx.now
-        machine.images = dict(IMAGES)
+        machine.cached_images = dict(IMAGES)
         ctx.machines[name] = machine
     return names
 
@@ -115,13 +115,13 @@
     for _ in range(6):
         teller.summary_requested = True
         sibling.hears(teller, reasons)
-    assert sibling.ctx.peers["n0"].reasons == reasons
+    assert sibling.ctx.peers["n0"].waiting_reasons == reasons
     teller.summary_requested = True
     few = dict.fromkeys(list(reasons)[:3], "other")
     for _ in range(6):
         teller.summary_requested = True
         sibling.hears(teller, few)
-    assert sibling.ctx.peers["n0"].reasons == few
+    assert sibling.ctx.peers["n0"].waiting_reasons == few
 
 
 def test_run_times_beyond_one_frame_are_kept_for_the_next() -> None:
