--- a/coursefold/coordination/commands.py
+++ b/coursefold/coordination/commands.py
@@ -1,8 +1,9 @@
-"""Commands to workers: the difference between what a report shows and what the records say.
+"""Commands to workers: the difference between a worker's report and the records.
 
-Commands travel in answers to reports only (a worker drops a late answer), so a `run` can be in
-flight no longer than one report. That makes the proof of absence simple: a later report under
-our token that does not list the task. Stops may also go to a worker's own address.
+Commands are sent only in responses to reports, and a worker drops a late response, so a `run`
+is in flight no longer than one report. This gives a simple proof that a task is gone: a later
+report under the current fencing token that does not list it. Stops may also be sent to a
+worker's own address.
 """
 
 import logging
@@ -17,62 +18,66 @@
 
 log = logging.getLogger(__name__)
 
-# Exits after which the task is forgotten and started again in its place. `busy`: an
-# older attempt was still there. `incomplete`: the gang's other images took longer
-# than `gang_wait_s`; the image is here now, and the attempt is not lost by it.
-STARTED_AGAIN = frozenset({"busy", "incomplete"})
+# Exit causes after which the same attempt is run again on the machine. `busy`: an older attempt
+# was still there. `incomplete`: the images of the gang's other tasks took longer than
+# `gang_wait_s`; the image is on the machine now, and the attempt does not count as failed.
+RETRIED_CAUSES = frozenset({"busy", "incomplete"})
 
 
 class CommandPlanner:
-    """Finds commands for machines of our part, and has exits written."""
+    """Plans commands for own machines, and proposes the transitions that their reports show."""
 
-    def __init__(self, ctx: Context, steps: TransitionProposer) -> None:
-        self.ctx, self.transitions = ctx, steps
+    def __init__(self, ctx: Context, transitions: TransitionProposer) -> None:
+        self.ctx, self.transitions = ctx, transitions
 
     def commands_for_report(self, machine: Machine, report: Report) -> list[Order]:
-        """Compare what is there with what should be, and command the difference."""
+        """Return the commands that bring a machine from what it reports to what is recorded."""
         ctx = self.ctx
         forgets: list[Order] = []
         stops: list[Order] = []
         runs: list[Order] = []
         entries = {
-            (job, e.index): e for job, e in ctx.view.on_machine(machine.id) if e.stage != DEALT
+            (job_id, entry.index): entry
+            for job_id, entry in ctx.view.on_machine(machine.id)
+            if entry.stage != DEALT
         }
-        for (name, number), item in machine.tasks.items():
-            place = (JobId(name), number)
-            entry = entries.get(place)
-            known = entry is not None and entry.attempt == item.attempt
-            if item.state == "exited":
-                if known and entry is not None and item.cause not in STARTED_AGAIN:
-                    self._exited(machine, JobId(place[0]), entry, item)
+        for (name, index), task_report in machine.tasks.items():
+            task_key = (JobId(name), index)
+            entry = entries.get(task_key)
+            is_current = entry is not None and entry.attempt == task_report.attempt
+            if task_report.state == "exited":
+                if is_current and entry is not None and task_report.cause not in RETRIED_CAUSES:
+                    self._record_exit(machine, JobId(task_key[0]), entry, task_report)
                 else:
-                    forgets.append(Order("forget", item.task, item.attempt))
+                    forgets.append(Order("forget", task_report.task, task_report.attempt))
                 continue
-            if not known or entry is None:
-                stops.append(Order("stop", item.task, item.attempt, 0.0))
+            if not is_current or entry is None:
+                stops.append(Order("stop", task_report.task, task_report.attempt, 0.0))
                 continue
-            job = ctx.view.jobs[JobId(place[0])]
-            if cancellations.is_cancelled_or_expired(ctx, place[0]):
-                stops.append(Order("stop", item.task, item.attempt, 0.0))
-            elif entry.stage == STOPPING and item.state != "flushing":
-                stops.append(Order("stop", item.task, item.attempt, self._grace(job)))
+            job = ctx.view.jobs[JobId(task_key[0])]
+            if cancellations.is_cancelled_or_expired(ctx, task_key[0]):
+                stops.append(Order("stop", task_report.task, task_report.attempt, 0.0))
+            elif entry.stage == STOPPING and task_report.state != "flushing":
+                stops.append(
+                    Order("stop", task_report.task, task_report.attempt, self._stop_grace_s(job))
+                )
             elif entry.stage == PLACED:
-                self._drain(machine, JobId(place[0]), job, entry)
-        for place, entry in entries.items():
-            self._missing(machine, report, JobId(place[0]), entry, runs)
+                self._save_before_recall(machine, JobId(task_key[0]), job, entry)
+        for task_key, entry in entries.items():
+            self._handle_missing(machine, report, JobId(task_key[0]), entry, runs)
         return [*forgets, *stops, *runs]
 
     @staticmethod
-    def _grace(job: JobRecord) -> float:
+    def _stop_grace_s(job: JobRecord) -> float:
         return job.spec.save + 1.0 if job.spec.checkpoint > 0 else 0.0
 
-    def _missing(
+    def _handle_missing(
         self, machine: Machine, report: Report, job_id: JobId, entry: Entry, runs: list[Order]
     ) -> None:
-        """A task that should be here and is not listed, or belongs to an older session."""
+        """Handle a recorded task that is not listed, or belongs to an older session."""
         ctx = self.ctx
-        place = (job_id, entry.index)
-        listed = machine.tasks.get(place)
+        task_key = (job_id, entry.index)
+        listed = machine.tasks.get(task_key)
         if entry.session < report.session:
             self.propose_gone(job_id, entry, machine)
             return
@@ -81,105 +86,110 @@
         if (
             listed is not None
             and listed.attempt == entry.attempt
-            and listed.cause not in STARTED_AGAIN
+            and listed.cause not in RETRIED_CAUSES
         ):
             return
         job = ctx.view.jobs[job_id]
         if job.status == LIVE and entry.stage == PLACED:
             if cancellations.is_cancelled_or_expired(ctx, job_id):
-                return  # its own news decides what becomes of the place
+                return  # the recorded cancellation decides what becomes of the task
             runs.append(Order("run", f"{job_id}/{entry.index}", entry.attempt))
             return
-        # Proof of absence. A worker has one report in flight, so this one, newer than
-        # any we answered, shows what came of our own `run`. Only under our own token:
-        # a former owner's `run` could still be on its way to a worker without it.
+        # Proof that the task is gone. A worker has one report in flight, so this one, newer
+        # than any that was responded to, shows the effect of this controller's own `run`.
+        # It holds under the current token only: a `run` of a former owner could still be on
+        # its way to a worker that does not know the token yet.
         if report.token == ctx.machine_token(machine.id):
             self.propose_gone(job_id, entry, machine)
 
     def propose_gone(self, job_id: JobId, entry: Entry, machine: Machine) -> None:
-        """Have it written that a task's place is proven gone."""
+        """Propose that a task is recorded as gone; only after proof that it does not run."""
         self.transitions.propose(job_id, "gone", entry, f"gone{entry.index}", machine=machine.id)
 
-    def _drain(self, machine: Machine, job_id: JobId, job: JobRecord, entry: Entry) -> None:
-        """Save a task's progress before its machine is taken."""
+    def _save_before_recall(
+        self, machine: Machine, job_id: JobId, job: JobRecord, entry: Entry
+    ) -> None:
+        """Stop a task in time to save its progress before the cloud takes its machine back."""
         if machine.recall_at is None or job.spec.checkpoint <= 0:
             return
-        left = machine.recall_at - self.ctx.now
-        report = self.ctx.settings.params.workers.report_s
-        if job.spec.save < left < job.spec.save + 2.5 * report + 2.0:
+        remaining_s = machine.recall_at - self.ctx.now
+        report_s = self.ctx.settings.params.workers.report_s
+        if job.spec.save < remaining_s < job.spec.save + 2.5 * report_s + 2.0:
             kind = "stop_all" if job.spec.shape == "ensemble" else "stop"
             self.transitions.propose(job_id, kind, entry, f"stop{entry.index}")
 
-    def _exited(self, machine: Machine, job_id: JobId, entry: Entry, item: TaskReport) -> None:
-        """Record an exit; `forget` follows once it is recorded."""
+    def _record_exit(
+        self, machine: Machine, job_id: JobId, entry: Entry, task_report: TaskReport
+    ) -> None:
+        """Propose to record an exit; `forget` is sent once it is recorded."""
         ctx = self.ctx
-        cause = item.cause
+        cause = task_report.cause
         job = ctx.view.jobs[job_id]
         tag = f"exit{entry.index}.{entry.attempt}"
-        begun = None
+        started_at = None
         if cause == "done":
             kind = "finish"
-            begun = machine.running_since.pop((job_id, entry.index, entry.attempt), None)
+            started_at = machine.running_since.pop((job_id, entry.index, entry.attempt), None)
             machine.failed_attempts.clear()
         elif cause in ("error", "unknown"):
             kind = "failed"
             if cause == "error":
-                self._suspect(machine, job_id, job)
+                self._count_failure(machine, job_id, job)
         else:
             kind = "gone"
         if self.transitions.propose(job_id, kind, entry, tag, machine=machine.id):
-            if begun is not None:
-                ctx.finished_runs.append((job.spec.lane, ctx.now - begun))
+            if started_at is not None:
+                ctx.finished_runs.append((job.spec.lane, ctx.now - started_at))
             log.info(
                 "task %s/%d#%d on %s: %s", job_id, entry.index, entry.attempt, machine.id, cause
             )
 
-    def _suspect(self, machine: Machine, job_id: JobId, job: JobRecord) -> None:
-        """Tell a faulty machine from a faulty job.
+    def _count_failure(self, machine: Machine, job_id: JobId, job: JobRecord) -> None:
+        """Count a failure, and quarantine the machine if it is faulty rather than the job.
 
-        A machine is sick when tasks of two jobs fail on it with no success between
-        them, or two of a job that succeeds elsewhere. A job that was submitted with
-        a mistake fails everywhere and is no proof against any machine.
+        A machine is quarantined when tasks of two jobs fail on it with no success in between,
+        or two attempts of a job that succeeds elsewhere. A job with a mistake fails on every
+        machine and is no evidence against any of them.
         """
-        mark = f"{job_id}.{job.attempt}"
-        if mark in machine.failed_attempts:
+        failed_attempt = f"{job_id}.{job.attempt}"
+        if failed_attempt in machine.failed_attempts:
             return
-        machine.failed_attempts.append(mark)
-        names = {f.partition(".")[0] for f in machine.failed_attempts}
+        machine.failed_attempts.append(failed_attempt)
+        job_ids = {f.partition(".")[0] for f in machine.failed_attempts}
         if not machine.quarantined and (
-            len(names) >= 2 or (len(machine.failed_attempts) >= 2 and job.done_count > 0)
+            len(job_ids) >= 2 or (len(machine.failed_attempts) >= 2 and job.done_count > 0)
         ):
             machine.quarantined = True
             self.ctx.notify_peers = True
             log.info(
-                "machine %s fails what it starts (%s): out of use", machine.id, ",".join(names)
+                "machine %s quarantined: tasks of %s failed on it", machine.id, ",".join(job_ids)
             )
 
     def send_stops(self, machine: Machine) -> None:
-        """Tell a worker to stop a task without waiting for its report.
+        """Send stops to a worker's own address without waiting for its next report.
 
-        Only stops go this way, and only once they are written: a command to the
-        worker's own address may execute minutes late, and a late stop of an attempt
-        that has to stop is harmless, while a late `run` is not.
+        Only stops are sent this way, and only once they are recorded: a command to a worker's
+        own address may be executed minutes late. A late stop of an attempt that has to stop is
+        harmless, whereas a late `run` is not.
         """
         ctx = self.ctx
-        orders = []
+        commands = []
         for job_id, entry in ctx.view.on_machine(machine.id):
             job = ctx.view.jobs[job_id]
-            key = (job_id, entry.index, entry.attempt)
+            attempt_key = (job_id, entry.index, entry.attempt)
             listed = machine.tasks.get((job_id, entry.index))
-            off = cancellations.is_cancelled_or_expired(ctx, job_id)
+            is_cancelled = cancellations.is_cancelled_or_expired(ctx, job_id)
             if (
-                (off or entry.stage == STOPPING)
+                (is_cancelled or entry.stage == STOPPING)
                 and entry.session == machine.session
                 and listed is not None
                 and listed.attempt == entry.attempt
                 and listed.state not in ("exited", "flushing")
-                and key not in machine.stops_sent
+                and attempt_key not in machine.stops_sent
             ):
-                machine.stops_sent.add(key)
-                grace = 0.0 if off else self._grace(job)
-                orders.append(Order("stop", f"{job_id}/{entry.index}", entry.attempt, grace))
-        if orders:
+                machine.stops_sent.add(attempt_key)
+                grace_s = 0.0 if is_cancelled else self._stop_grace_s(job)
+                commands.append(Order("stop", f"{job_id}/{entry.index}", entry.attempt, grace_s))
+        if commands:
             token = ctx.machine_token(machine.id)
-            ctx.effects.append(SendCommands(machine.address, token, machine.session, orders))
+            ctx.effects.append(SendCommands(machine.address, token, machine.session, commands))
--- a/coursefold/coordination/owner.py
+++ b/coursefold/coordination/owner.py
@@ -1,6 +1,6 @@
-"""An owner's work: its workers' reports, and which machines of its part are silent.
+"""The owner: handles its workers' reports and detects silent machines.
 
-What they are told is found by `commands`, where dealt tasks go by `placing`.
+`commands` decides what workers are told, `owner_placement` on which machines assigned tasks run.
 """
 
 import logging
@@ -21,21 +21,27 @@
 log = logging.getLogger(__name__)
 
 
-SWEEP_S = 0.5  # between looks at the whole part
-FORGET_S = 120.0  # of silence: then a machine without tasks is no longer ours
-DEPARTED = 20_000  # machines; 2 MB
+SCAN_INTERVAL_S = 0.5  # between checks of all own machines
+REMOVE_SILENT_S = 120.0  # a machine without tasks that is silent for longer is removed
+MAX_DEPARTED_MACHINES = 20_000  # 2 MB
 
 
 class Owner:
-    """Acts for the machines whose hash falls to this node."""
+    """Acts for the machines that this controller owns.
+
+    Attributes:
+        scanned_at: When all own machines were last checked.
+        scanned_token: The roster's fencing token at that check.
+        departed_sequences: Session and sequence number of the last report of removed machines.
+    """
 
     def __init__(self, ctx: Context, election: Election, forward: ForwardTransition) -> None:
         self.ctx, self.election = ctx, election
-        steps = TransitionProposer(ctx, forward)
+        transitions = TransitionProposer(ctx, forward)
         self.response_monitor = ResponseMonitor(ctx)
         self.lease_renewal = LeaseRenewal(ctx)
-        self.command_planner = CommandPlanner(ctx, steps)
-        self.owner_placement = OwnerPlacement(ctx, steps)
+        self.command_planner = CommandPlanner(ctx, transitions)
+        self.owner_placement = OwnerPlacement(ctx, transitions)
         self.scanned_at = -1e9
         self.scanned_token = -1
         self.departed_sequences: dict[str, tuple[int, int]] = {}
@@ -43,7 +49,12 @@
     # Reports
 
     def handle_report(self, report: Report, ticket: int) -> None:
-        """Answer a report: 200 with commands, 421 with the owner, or 503."""
+        """Respond to a report: 200 with commands, 421 with the owner's name, or 503.
+
+        Args:
+            report: The worker's report.
+            ticket: The transport's number of the request.
+        """
         ctx = self.ctx
         roster = ctx.view.roster
         if roster is None or not ctx.view.loaded:
@@ -56,7 +67,7 @@
                 and self.lease_renewal.stands_in_for(owner)
                 and report.token <= ctx.machine_token(report.machine)
             ):
-                self._keep(report, ticket)
+                self._renew_only(report, ticket)
                 return
             if ctx.now - ctx.watch_ok_at > ctx.max_view_age_s() or owner is None:
                 self._refuse(ticket)
@@ -68,52 +79,52 @@
             if report.token <= ctx.machine_token(report.machine) and self._may_renew(
                 report.machine
             ):
-                self._keep(report, ticket)
+                self._renew_only(report, ticket)
             else:
                 self._refuse(ticket)
             return
-        machine = self._machine(report)
+        machine = self._find_or_add_machine(report)
         if machine is None or (report.session, report.counter) <= (
             machine.session,
             machine.sequence,
         ):
-            self._refuse(ticket)  # late or reordered: its list is as old as it is
+            self._refuse(ticket)  # late or reordered, so its task list is out of date
             return
         self.response_monitor.check(machine, report)
-        self._take(machine, report)
-        orders = self.command_planner.commands_for_report(machine, report)
-        self._accept(machine, ticket, orders)
+        self._apply_report(machine, report)
+        commands = self.command_planner.commands_for_report(machine, report)
+        self._respond(machine, ticket, commands)
 
-    def _may_command(self, machine: str, shown: int) -> bool:
-        """May we decide on a machine of our part that has shown this token?"""
+    def _may_command(self, machine: str, shown_token: int) -> bool:
+        """Return whether to command an own machine that has shown this fencing token."""
         ctx = self.ctx
         return (
-            shown <= ctx.machine_token(machine)
+            shown_token <= ctx.machine_token(machine)
             and ctx.is_active()
             and not ctx.ownership.is_behind(machine)
             and not ctx.ownership.is_released(machine)
         )
 
     def _may_renew(self, machine: str) -> bool:
-        """May we renew the lease of a machine that we may not command?"""
+        """Return whether to renew the lease of an own machine that must not be commanded now."""
         if self.ctx.ownership.is_behind(machine):
             return False
         if self.ctx.ownership.is_released(machine):
             return self.lease_renewal.may_renew_released()
         return not self.ctx.is_active() and self.lease_renewal.may_renew()
 
-    def _accept(self, machine: Machine, ticket: int, orders: list[Order]) -> None:
-        """Answer a machine's report under its fencing token, which renews its lease."""
+    def _respond(self, machine: Machine, ticket: int, commands: list[Order]) -> None:
+        """Respond to a report under the machine's fencing token, which renews the lease."""
         ctx = self.ctx
         machine.last_response_at = ctx.now
-        body = {"Baton": ctx.machine_token(machine.id), "Orders": orders}
+        body = {"Baton": ctx.machine_token(machine.id), "Orders": commands}
         ctx.effects.append(Response(ticket, 200, body))
 
     def _refuse(self, ticket: int) -> None:
         self.ctx.effects.append(Response(ticket, 503, {"error": "not entitled"}, retry_after=1))
 
-    def _machine(self, report: Report) -> Machine | None:
-        """The machine that reports; None if this is a late copy from one that has left."""
+    def _find_or_add_machine(self, report: Report) -> Machine | None:
+        """Return the reporting machine; None for a late report from a removed one."""
         ctx = self.ctx
         machine = ctx.machines.get(report.machine)
         if machine is None:
@@ -134,34 +145,34 @@
         return machine
 
     def remove_machine(self, machine: str) -> None:
-        """A machine of our part is no more. What of its reports comes late is told by this."""
-        known = self.ctx.machines.pop(machine, None)
-        if known is not None:
-            self.departed_sequences[machine] = (known.session, known.sequence)
-            while len(self.departed_sequences) > DEPARTED:
+        """Remove an own machine, and note its last report so that late copies are recognized."""
+        removed = self.ctx.machines.pop(machine, None)
+        if removed is not None:
+            self.departed_sequences[machine] = (removed.session, removed.sequence)
+            while len(self.departed_sequences) > MAX_DEPARTED_MACHINES:
                 del self.departed_sequences[next(iter(self.departed_sequences))]
 
-    def _keep(self, report: Report, ticket: int) -> None:
-        """Renew a lease and command nothing but the end of cancelled tasks."""
+    def _renew_only(self, report: Report, ticket: int) -> None:
+        """Renew a lease and send no commands other than stops of cancelled tasks."""
         ctx = self.ctx
-        machine = self._machine(report)
+        machine = self._find_or_add_machine(report)
         if machine is None or (report.session, report.counter) <= (
             machine.session,
             machine.sequence,
         ):
             self._refuse(ticket)
             return
-        self._take(machine, report)
-        orders = []
-        for item in report.tasks:
-            task = parse_task(item.task)
-            off = task is not None and cancellations.is_cancelled_or_expired(ctx, task.job)
-            if off and item.state != "exited":
-                orders.append(Order("stop", item.task, item.attempt, 0.0))
-        self._accept(machine, ticket, orders)
+        self._apply_report(machine, report)
+        commands = []
+        for task_report in report.tasks:
+            task = parse_task(task_report.task)
+            is_cancelled = task is not None and cancellations.is_cancelled_or_expired(ctx, task.job)
+            if is_cancelled and task_report.state != "exited":
+                commands.append(Order("stop", task_report.task, task_report.attempt, 0.0))
+        self._respond(machine, ticket, commands)
 
-    def _take(self, machine: Machine, report: Report) -> None:
-        """Note what the report shows."""
+    def _apply_report(self, machine: Machine, report: Report) -> None:
+        """Update the machine's state from its report."""
         ctx = self.ctx
         if report.session != machine.session:
             machine.running_since.clear()
@@ -178,94 +189,101 @@
             ctx.notify_peers = True
         machine.recall_at = None if report.recall is None else ctx.now + report.recall
         machine.tasks = {}
-        for item in report.tasks:
-            task = parse_task(item.task)
+        for task_report in report.tasks:
+            task = parse_task(task_report.task)
             if task is None:
-                log.error("machine %s lists %r, which is no task", machine.id, item.task)
+                log.error(
+                    "machine %s reports an invalid task name %r", machine.id, task_report.task
+                )
                 continue
-            machine.tasks[(task.job, task.number)] = item
+            machine.tasks[(task.job, task.number)] = task_report
             job = ctx.view.jobs.get(task.job)
-            if job is not None and item.state in ("running", "gathering", "flushing"):
-                kind = ctx.find_machine_type(machine.machine_type)
+            if job is not None and task_report.state in ("running", "gathering", "flushing"):
+                type_info = ctx.find_machine_type(machine.machine_type)
                 machine.record_image_use(
-                    job.spec.image, job.spec.image_gb, kind.cache_gb if kind else 0.0
+                    job.spec.image, job.spec.image_gb, type_info.cache_gb if type_info else 0.0
                 )
-            attempt = (task.job, task.number, item.attempt)
-            if item.state == "running" and attempt not in machine.running_since:
+            attempt = (task.job, task.number, task_report.attempt)
+            if task_report.state == "running" and attempt not in machine.running_since:
                 machine.running_since[attempt] = ctx.now
-                log.debug("task %s#%d on %s runs", item.task, item.attempt, machine.id)
+                log.debug(
+                    "task %s#%d on %s runs", task_report.task, task_report.attempt, machine.id
+                )
         if machine.tasks or ctx.view.on_machine(machine.id):
             machine.idle_since = ctx.now
 
-    # The part
+    # Own machines
 
     def tick(self) -> None:
-        """What changed at once; the whole part twice a second."""
+        """Handle changed machines at once, and check all own machines twice a second."""
         ctx = self.ctx
-        moved, ctx.view.moved = ctx.view.moved, {}
+        changed_machines, ctx.view.moved = ctx.view.moved, {}
         cancellations.prune(ctx)
         if not ctx.is_active():
             return
-        for name in moved:
-            machine = ctx.machines.get(name)
+        for machine_id in changed_machines:
+            machine = ctx.machines.get(machine_id)
             if machine is not None and not machine.lease_expired:
                 self.command_planner.send_stops(machine)
-        if ctx.now - self.scanned_at >= SWEEP_S or self.scanned_token != ctx.view.token:
+        if ctx.now - self.scanned_at >= SCAN_INTERVAL_S or self.scanned_token != ctx.view.token:
             self.scanned_at, self.scanned_token = ctx.now, ctx.view.token
-            self._sweep()
+            self._scan_machines()
         self.owner_placement.place_assigned_tasks()
 
-    def _sweep(self) -> None:
-        """Which of our machines are silent."""
+    def _scan_machines(self) -> None:
+        """Mark silent machines, and remove those that are gone or have another owner."""
         ctx = self.ctx
-        lease = ctx.settings.params.workers.lease_s * LEASE_DRIFT_FACTOR + 0.5
-        alive = ctx.max_report_age_s()
+        lease_s = ctx.settings.params.workers.lease_s * LEASE_DRIFT_FACTOR + 0.5
+        max_report_age_s = ctx.max_report_age_s()
         for machine in list(ctx.machines.values()):
             if not ctx.owns(machine.id, machine.zone):
                 del ctx.machines[machine.id]
                 continue
             if ctx.ownership.is_released(machine.id):
-                continue  # another may renew its lease by now: silence towards us proves nothing
-            # Counted from the roster's change: an owner that was cut off and comes
-            # back has not heard what its stand-in heard, and must not give it up.
-            quiet = ctx.now - max(
+                continue  # its new owner may renew the lease by now: silence here proves nothing
+            # Counted from the roster's change at the earliest: an owner that returns after a
+            # partition has not received the reports that its substitute received, and must not
+            # take the machine for lost.
+            silence_s = ctx.now - max(
                 machine.last_report_at, machine.last_response_at, ctx.token_seen_at
             )
-            if quiet > lease and not machine.lease_expired:
+            if silence_s > lease_s and not machine.lease_expired:
                 machine.lease_expired = True
-                log.info("machine %s: silent for %.1f s", machine.id, quiet)
+                log.info("machine %s: silent for %.1f s", machine.id, silence_s)
             if machine.lease_expired:
                 self._expire(machine)
-            # Written once as a chained comparison, which turned the mark over at every look:
-            # half of the machines that had fallen silent for a moment stayed marked for good,
-            # took no tasks from the leader, and were never returned.
-            machine.unresponsive = ctx.now - machine.last_report_at > alive
-            if quiet > FORGET_S and not ctx.view.on_machine(machine.id):
+            # Not chained with a comparison to the previous value: such a chain inverts the mark
+            # at every check, so that half of the machines that were silent for a moment stay
+            # marked, take no tasks from the leader, and are never returned.
+            machine.unresponsive = ctx.now - machine.last_report_at > max_report_age_s
+            if silence_s > REMOVE_SILENT_S and not ctx.view.on_machine(machine.id):
                 self.remove_machine(machine.id)
 
     def stop_peer_cancelled_tasks(self) -> None:
-        """Stop what a sibling says is cancelled, also while we may decide nothing else.
+        """Stop tasks of jobs that only a sibling knows to be cancelled.
 
-        A worker that does not report to us now gets the word all the same; one that has
-        seen a higher token than ours ignores it.
+        This is done even while this controller may take no other decisions. The stop also goes
+        to workers that do not report here now; a worker that has seen a higher fencing token
+        ignores it.
         """
         ctx = self.ctx
-        names, ctx.new_peer_cancellations = ctx.new_peer_cancellations, []
-        places = {
+        job_ids, ctx.new_peer_cancellations = ctx.new_peer_cancellations, []
+        machine_ids = {
             entry.machine: None
-            for name in names
-            if (job := ctx.view.jobs.get(name)) is not None
+            for job_id in job_ids
+            if (job := ctx.view.jobs.get(job_id)) is not None
             for entry in job.entries
         }
-        for place in places:
-            if (machine := ctx.machines.get(place)) is not None:
+        for machine_id in machine_ids:
+            if (machine := ctx.machines.get(machine_id)) is not None:
                 self.command_planner.send_stops(machine)
 
     def _expire(self, machine: Machine) -> None:
-        """Its lease is over: nobody but us could renew it, and we did not.
+        """Propose the tasks of a machine with an expired lease as gone.
 
-        True only if the worker has seen our token: else a former owner that is cut
-        off from the state service, but not from the worker, may have answered it.
+        The lease has expired for certain only if the worker has seen the current fencing token:
+        then no other controller can have renewed it. Otherwise a former owner that is cut off
+        from the state service, but not from the worker, may have responded to it.
         """
         ctx = self.ctx
         if machine.token != ctx.machine_token(machine.id):
