--- a/coursefold/coordination/context.py
+++ b/coursefold/coordination/context.py
@@ -27,7 +27,7 @@
         address: The worker's own address for commands, as `host:port`.
         session: The worker's session number, as it reports it.
         sequence: The number of the last report within the session; -1 before the first.
-        token: The highest fencing token that the worker knows.
+        token: The fencing token that the last report showed.
         last_report_at: When the last report was received.
         last_response_at: When a report was last accepted, which renews the worker's lease.
         recall_at: When the cloud takes the machine back; None if not announced.
@@ -43,7 +43,7 @@
         responses_lost: Responses have not arrived for so long that the machine is unusable.
         no_response_since: Since when responses have not arrived; None if they do.
         gang_reservation_until: Until when the machine is reserved for a gang of the leader.
-        idle_since: When the machine last had a task.
+        idle_since: When the machine last had a task; when it first reported if it had none.
         lease_expired: No report and no response for longer than the machine's lease.
     """
 
@@ -121,7 +121,7 @@
         sequence: The number of the last frame of the connection.
         token: The fencing token of the roster that the sibling knows.
         lease_id: The sibling's lease, which identifies its process; 0 if it has none.
-        lease_id_seen_at: When this lease was first seen in one of the sibling's frames.
+        lease_id_seen_at: When this lease was first seen in a frame; 1e18 before the first.
         revision: Up to which revision of the state service its records are complete.
         roster_token: The roster under which it sent its cancellations.
         cancellations_known_until: Every cancellation that it confirmed before is known here.
@@ -173,12 +173,13 @@
         watch_ok_at: The view is at least as recent as this time.
         token_seen_at: When the current roster's fencing token was first seen.
         seen_token: That fencing token.
-        machines: Machines that this controller owns, by name.
+        machines: Machines that report to this controller, by name.
         peers: What the siblings' summaries say, by member.
         placements_in_flight: Tasks whose placement is being committed, by job and index, with
             their machine and job description.
         finished_runs: Class and run time in seconds of each task that has finished.
-        peer_cancellations: Cancelled jobs that only siblings know of so far, with the revision.
+        peer_cancellations: Cancelled jobs that only siblings know of so far, with the revision
+            of their cancellation.
         new_peer_cancellations: Those of them whose tasks have not been told to stop yet.
         notify_peers: Whether all siblings are to get a frame at once.
     """
