--- a/coursefold/coordination/cloud.py
+++ b/coursefold/coordination/cloud.py
@@ -95,7 +95,7 @@
         self.budget.take(ctx.now, 1.0)
         self.last_call_id += 1
         self.pending_calls[self.last_call_id] = PendingCall(verb, subject)
-        ctx.out.append(CloudCall(self.last_call_id, verb, body))
+        ctx.effects.append(CloudCall(self.last_call_id, verb, body))
         return True
 
     def match_response(self, call: int, status: int, body: bytes) -> PendingCall | None:
--- a/coursefold/coordination/pools.py
+++ b/coursefold/coordination/pools.py
@@ -60,15 +60,15 @@
     def plan(self, catalog: Catalog, elapsed: float) -> None:
         """One step of all loops."""
         ctx = self.ctx
-        for lane, seconds in ctx.finished:
+        for lane, seconds in ctx.finished_runs:
             self.run_times.add(lane, seconds, ctx.now)
-        ctx.finished.clear()
+        ctx.finished_runs.clear()
         losses = {
             pool: lost.rate_per_s(ctx.now) for pool, lost in self.inventory.loss_trackers.items()
         }
         planner = DemandPlanner(
             catalog, self.run_times, ctx.now, self.rentals.blocked_until, losses,
-            self.parameters.arrivals_window, ctx.market(),
+            self.parameters.arrivals_window, ctx.price_index(),
         )  # fmt: skip
         self._count_machines(planner)
         self._count_arrivals(planner)
@@ -102,10 +102,10 @@
             if name in self.recent_arrivals or ctx.view.needs.holds(name) or not job.may_start:
                 continue
             since = ctx.view.since(name, job)
-            if ctx.wall - since < window:
+            if ctx.wall_time - since < window:
                 self.recent_arrivals[name] = (since, job.spec)
         for seen, (at, spec) in list(self.recent_arrivals.items()):
-            if ctx.wall - at > window:
+            if ctx.wall_time - at > window:
                 del self.recent_arrivals[seen]
             else:
                 planner.count_arrival(spec, min(spec.tasks, COUNTED_TASKS))
@@ -148,10 +148,10 @@
         """Free room now, and the machines that are about to be up."""
         ctx = self.ctx
         inventory = self.inventory
-        rooms = [r for r in ctx.rooms() if r.id not in inventory.returning]
+        rooms = [r for r in ctx.available_machines() if r.id not in inventory.returning]
         have = {r.id for r in rooms}
         for machine in inventory.machines.values():
-            kind = ctx.kind(machine.machine_type)
+            kind = ctx.find_machine_type(machine.machine_type)
             if machine.id in have or machine.id in inventory.returning:
                 continue
             if machine.is_up and not inventory.is_recently_handed_over(machine):
@@ -161,7 +161,7 @@
         for room in rooms:
             if room.reserved_for_gang and room.id in self.leader.requested_machines:
                 room.reserved_for_gang = False
-            if ctx.ownership.move(room.id) is not None:
+            if ctx.ownership.move_in_progress(room.id) is not None:
                 room.is_unschedulable = False  # it stays ours: a move rents nothing
         return rooms
 
@@ -221,7 +221,7 @@
             return Adjustment()
         waits = [
             ctx.now - room.idle_since
-            for room in ctx.rooms()
+            for room in ctx.available_machines()
             if (room.type_info.name, room.spot) == pool and room.task_count == 0
         ]
         env: Env = {
@@ -285,7 +285,7 @@
         """Return machines that are empty and have been for a while."""
         ctx = self.ctx
         inventory = self.inventory
-        rooms = {r.id: r for r in ctx.rooms()}
+        rooms = {r.id: r for r in ctx.available_machines()}
         spare = [
             machine
             for machine in inventory.machines.values()
--- a/coursefold/coordination/rentals.py
+++ b/coursefold/coordination/rentals.py
@@ -80,7 +80,7 @@
             self.last_number += 1
             name = f"r-{ctx.view.token}-{self.last_number}"
             log.info("rent %d of %s in %s (%s)", part, pool, zone, name)
-            self._write(pool, name, Hire(name, zone, pool.spot, part, ctx.wall))
+            self._write(pool, name, Hire(name, zone, pool.spot, part, ctx.wall_time))
 
     def send_pending(self, lists_read: int) -> None:
         """Send what is recorded and not answered; a name gets the same answer again."""
@@ -110,7 +110,7 @@
 
     def _use_answer(self, pool: PoolId, hire: Hire, machines: list[str], lists_read: int) -> None:
         """A recorded answer tells a new leader of machines that no list shows yet."""
-        age = self.ctx.wall - hire.at
+        age = self.ctx.wall_time - hire.at
         if lists_read < LISTS_TO_TRUST and age < ANSWER_KEPT_S:
             for name in machines:
                 self.inventory.add(name, pool, hire.zone, self.ctx.now - age)
--- a/coursefold/coordination/transitions.py
+++ b/coursefold/coordination/transitions.py
@@ -24,7 +24,10 @@
         """Have one task's step written; False if it is under way already."""
         task = jobs.TaskRef(entry.index, entry.attempt, machine=machine)
         return self.write(
-            job_id, jobs.TaskTransition(kind, (task,), self.ctx.me, self.ctx.wall), tag, rank
+            job_id,
+            jobs.TaskTransition(kind, (task,), self.ctx.own_name, self.ctx.wall_time),
+            tag,
+            rank,
         )
 
     def write(
--- a/tests/production.py
+++ b/tests/production.py
@@ -43,12 +43,43 @@
         records=records,
         codec=importlib.import_module(f"{package}.storage.codec") if has_codec else records,
         view=importlib.import_module(f"{package}.storage.view"),
-        **{kind: getattr(effects, kind) for kind in KINDS},
+        **{kind: getattr(effects, old if package == NAME else kind) for kind, old in KINDS.items()},
     )
 
 
 # New names of attributes that tests use on both versions: module, class, new name, old name.
 ALIASES: dict[str, dict[str, dict[str, str]]] = {
+    "coordination.context": {
+        "Context": {
+            "effects": "out",
+            "is_active": "active",
+            "is_leading": "leading",
+            "lease_id": "permit",
+            "own_name": "me",
+            "wall_time": "wall",
+            "watch_ok_at": "follow_ok_at",
+        },
+    },
+    "coordination.core": {
+        "Core": {
+            "frame_builders": "tellers",
+            "handle_report": "report",
+            "is_healthy": "healthy",
+            "next_frame": "frame",
+            "peer_connected": "linked",
+            "receive_cloud_response": "cloud",
+            "receive_frame": "peer",
+            "receive_job_result": "read",
+            "requests_awaiting_refresh": "questions",
+            "set_time": "at",
+            "take_effects": "drain",
+            "view_refreshed": "vouched",
+        },
+    },
+    "coordination.effects": {
+        "CloudCall": {"call_id": "call"},
+        "Direct": {"address": "addr", "commands": "orders"},
+    },
     "coordination.forward": {"Forwarding": {"receive_proposals": "proposals"}},
 }
 
@@ -66,7 +97,15 @@
                 setattr(kind, new, _alias(old))
 
 
-KINDS = ("Answer", "CloudCall", "Direct", "Read", "Tell", "Vouch")
+# Effects by their names here, and their names in production.
+KINDS = {
+    "CloudCall": "CloudCall",
+    "NotifyPeers": "Tell",
+    "ReadJobResult": "Read",
+    "RefreshView": "Vouch",
+    "Response": "Answer",
+    "SendCommands": "Direct",
+}
 OURS = _version("ours", "coursefold")
 
 
