--- a/coursefold/coordination/forward.py
+++ b/coursefold/coordination/forward.py
@@ -65,7 +65,7 @@
             return False
         self.last_id = max(self.last_id + 1, int(ctx.wall * 1000))
         proposal = peer_pb2.Proposal(
-            id=self.last_id, token=ctx.view.token, job=job, kind=step.kind, at=step.at
+            id=self.last_id, token=ctx.view.token, job=job, kind=step.kind, at=step.created_at
         )
         for task in step.tasks:
             proposal.tasks.add(**task._asdict())
--- a/coursefold/coordination/jobs.py
+++ b/coursefold/coordination/jobs.py
@@ -1,8 +1,9 @@
-"""Edits of job records: every step of a task's life, each checked against the record.
+"""Edits of job records: each transition of a job or task, checked against the current record.
 
-An edit raises NotApplicableError when the record has moved on, so a late or repeated decision
-changes nothing. A task has at most one entry, and its entry leaves only when
-the task is done or its place is proven gone.
+Each function returns a `Change`, which computes the next record from the current one. It
+raises NotApplicableError if the transition does not apply to the current record, so a late or
+repeated decision changes nothing. A task has at most one entry in its job's record. The entry
+is removed only when the task is done or is known not to run on its machine any more.
 """
 
 from collections.abc import Sequence
@@ -18,22 +19,26 @@
 from coursefold.storage.records import DEALT, PLACED, STOPPING, Ending, Entry, JobRecord
 
 
-def _job(record: Struct | None) -> JobRecord:
+def _require_job(record: Struct | None) -> JobRecord:
     if not isinstance(record, JobRecord):
         raise NotApplicableError("over")
     return record
 
 
-def _live(record: Struct | None) -> JobRecord:
-    job = _job(record)
+def _require_live_job(record: Struct | None) -> JobRecord:
+    job = _require_job(record)
     if job.status != records.LIVE:
         raise NotApplicableError("cancelled")
     return job
 
 
-def _startable(record: Struct | None) -> JobRecord:
-    """A live job that waits for no other: without this, news out of order could start it."""
-    job = _live(record)
+def _require_startable_job(record: Struct | None) -> JobRecord:
+    """Return the record of a live job whose tasks may start here.
+
+    The check of prerequisites keeps updates that arrive out of order from starting a job
+    too early.
+    """
+    job = _require_live_job(record)
     if job.needs:
         raise NotApplicableError("waits for other jobs")
     if not job.may_start:
@@ -42,15 +47,16 @@
 
 
 def end_if_complete(job: JobRecord) -> Result:
-    """The record itself, or its ending when nothing of it is left to do.
+    """Return the job's ending if nothing is left to do, else the record itself.
 
-    The ending takes the record's place, which is one change; it moves to where it
-    stays (`sweep`) when there is nothing more urgent to write. A job that is away ends on the
-    guest cell's word or on proof; another cell's job is not ours to end, so its record says
-    what became of it until its home has confirmed that.
+    The ending replaces the record under the same key, which is a single change; `move_ending`
+    moves it to its final key when there is nothing more urgent to write. A job that runs in
+    another cell ends when that cell reports its end or its end is proven otherwise. The record
+    of a job that runs here for another cell is not ended here: it keeps the outcome until the
+    home cell has confirmed it.
     """
     if job.guest is not None:
-        return _settle_guest(job, job.guest)
+        return _end_guest_if_complete(job, job.guest)
     if job.is_away:
         return job
     if job.status == records.CANCELLED and not job.entries:
@@ -60,7 +66,7 @@
     return job
 
 
-def _settle_guest(job: JobRecord, guest: Guest) -> JobRecord:
+def _end_guest_if_complete(job: JobRecord, guest: Guest) -> JobRecord:
     if job.entries or guest.stage in (GuestStage.RELEASED, GuestStage.FINISHED):
         return job
     if job.done_count >= job.spec.tasks:
@@ -73,21 +79,29 @@
 
 
 def move_ending() -> Change:
-    """Move an ending out of the live jobs' keys, so that a starting node need not read it."""
+    """Return an edit that moves an ending out of the live jobs' keys.
+
+    A starting controller reads all live jobs' keys, and need not read ended jobs.
+    """
 
     def change(record: Struct | None) -> Result:
         if not isinstance(record, Ending):
             raise NotApplicableError("not ended")
-        # When it ended is asked by those that need it, and none does any more.
+        # Only dependent jobs use the time of the end, and none is left.
         return End(Ending(record.status, record.tasks))
 
     return change
 
 
 def accept(spec: Job, at: float, needs: Sequence[str] = (), cancelled: bool = False) -> Change:
-    """A new job; NotApplicableError where it is known already.
-
-    `needs` are the jobs before it that are not done; `cancelled` if one of them never will be.
+    """Return an edit that stores a new job; it does not apply if the job is known already.
+
+    Args:
+        spec: The job's description.
+        at: Wall-clock time of the submission in seconds.
+        needs: The prerequisites that are not done yet.
+        cancelled: Whether a prerequisite was cancelled, so that the job can never start; it
+            is stored as cancelled then.
     """
 
     def change(record: Struct | None) -> Result:
@@ -100,27 +114,33 @@
     return change
 
 
-def clear_prerequisites(ready: float) -> Change:
-    """All that the job needs is done: from here on its tasks may be dealt.
+def clear_prerequisites(ready_at: float) -> Change:
+    """Return an edit that clears a job's prerequisites, so that its tasks may be assigned.
+
+    The edit is part of the transaction of the first assignment, so it costs no change of its
+    own. The caller has seen that all prerequisites are done, which never changes again.
 
-    Made in the transaction of the first deal, so it costs no change of its own. That
-    what it needed is done was seen before, and never changes again.
+    Args:
+        ready_at: Wall-clock time in seconds from which the job could start.
     """
 
     def change(record: Struct | None) -> Result:
-        job = _live(record)
+        job = _require_live_job(record)
         if not job.needs:
             raise NotApplicableError("waits for nothing")
-        return msgspec.structs.replace(job, needs=[], ready=ready)
+        return msgspec.structs.replace(job, needs=[], ready=ready_at)
 
     return change
 
 
 def cancel_dependent() -> Change:
-    """The ending of a job that needs a cancelled one; it has no task, and never had."""
+    """Return an edit that ends a job because a prerequisite was cancelled.
+
+    Such a job has never had an entry, so there are no tasks to stop.
+    """
 
     def change(record: Struct | None) -> Result:
-        job = _live(record)
+        job = _require_live_job(record)
         if not job.needs or job.entries:
             raise NotApplicableError("waits for nothing")
         return Ending(records.CANCELLED, job.spec.tasks)
@@ -129,91 +149,99 @@
 
 
 def cancel() -> Change:
-    """From here on nothing of the job starts; what has a place is stopped by its owner."""
+    """Return an edit that cancels a job.
+
+    No task of the job starts after it; the owners of the machines stop the tasks that have
+    been placed. Tasks that were assigned but not placed are dropped.
+    """
 
     def change(record: Struct | None) -> Result:
-        job = _live(record)
-        kept = [e for e in job.entries if e.stage != DEALT]
+        job = _require_live_job(record)
+        placed = [e for e in job.entries if e.stage != DEALT]
         away = job.away
         if away is not None and away.stage == AwayStage.OFFERED:
-            # Nobody may start it without a grant, and there will be none.
+            # The other cell may not start the job without a grant, and none will be given.
             away = msgspec.structs.replace(away, stage=AwayStage.HOME)
         return end_if_complete(
-            msgspec.structs.replace(job, status=records.CANCELLED, entries=kept, away=away)
+            msgspec.structs.replace(job, status=records.CANCELLED, entries=placed, away=away)
         )
 
     return change
 
 
 class Assignment(NamedTuple):
-    """A waiting task handed to an owner; `machine` is only a hint."""
+    """A waiting task that the leader assigns to the owner of a machine."""
 
-    number: int
+    number: int  # index of the task in its job
     owner: str
     zone: str
-    machine: str
+    machine: str  # a hint; the owner may place the task on another machine
 
 
 def assign(tasks: list[Assignment]) -> Change:
-    """Hand waiting tasks to owners; those that no longer wait are left out."""
+    """Return an edit that assigns waiting tasks to owners, without those that no longer wait."""
 
     def change(record: Struct | None) -> Result:
-        job = _startable(record)
-        taken = {e.index for e in job.entries}
-        new = [
+        job = _require_startable_job(record)
+        with_entry = {e.index for e in job.entries}
+        new_entries = [
             Entry(t.number, DEALT, job.attempt, t.owner, t.zone, t.machine)
             for t in tasks
-            if t.number not in taken and not job.is_done(t.number)
+            if t.number not in with_entry and not job.is_done(t.number)
         ]
-        if not new:
+        if not new_entries:
             raise NotApplicableError("not waiting")
-        return msgspec.structs.replace(job, entries=[*job.entries, *new])
+        return msgspec.structs.replace(job, entries=[*job.entries, *new_entries])
 
     return change
 
 
 def unassign(index: int, owner: str) -> Change:
-    """Hand a task back for which the owner finds no place."""
+    """Return an edit that takes an assigned task back because its owner has no place for it."""
 
     def change(record: Struct | None) -> Result:
-        job = _live(record)
-        kept = [
+        job = _require_live_job(record)
+        remaining = [
             e
             for e in job.entries
             if not (e.index == index and e.stage == DEALT and e.owner == owner)
         ]
-        if len(kept) == len(job.entries):
+        if len(remaining) == len(job.entries):
             raise NotApplicableError("not dealt")
-        return msgspec.structs.replace(job, entries=kept)
+        return msgspec.structs.replace(job, entries=remaining)
 
     return change
 
 
 class TaskRef(NamedTuple):
-    """A task at a place, as a step names it; what a step does not need is left empty."""
+    """The task that a transition is about; fields that its kind does not need stay empty.
 
-    number: int
+    The field names are those of the protobuf message of the same content.
+    """
+
+    number: int  # index of the task in its job
     attempt: int = 0
     zone: str = ""
     machine: str = ""
-    session: int = 0
+    session: int = 0  # the worker's session on the machine
 
 
 def place(owner: str, tasks: Sequence[TaskRef]) -> Change:
-    """Give dealt (or waiting) tasks their machines; each attempt's number is new.
+    """Return an edit that places assigned or waiting tasks on machines.
 
-    Those that are done, or no longer the owner's to place, are left out.
+    Each placed task gets a new attempt number. Tasks that are done, placed already or
+    assigned to another owner are left out.
     """
 
     def change(record: Struct | None) -> Result:
-        job = _startable(record)
+        job = _require_startable_job(record)
         entries = {e.index: e for e in job.entries}
         attempt = job.attempt
         for task in tasks:
-            now = entries.get(task.number)
+            current = entries.get(task.number)
             if job.is_done(task.number):
                 continue
-            if now is not None and (now.stage != DEALT or now.owner != owner):
+            if current is not None and (current.stage != DEALT or current.owner != owner):
                 continue
             attempt += 1
             entries[task.number] = Entry(
@@ -227,14 +255,17 @@
 
 
 def place_gang(places: list[tuple[str, str, str, int]]) -> Change:
-    """Start a gang's next attempt: one (owner, zone, machine, session) for each task.
+    """Return an edit that starts a gang's next attempt.
+
+    It applies only if no entry of the previous attempt is left: as long as a task may still
+    run on its old machine, it must not start elsewhere.
 
-    NotApplicableError unless every task of the former attempt is proven gone: until then its
-    old places forbid starting the same task elsewhere.
+    Args:
+        places: One (owner, zone, machine, session) for each task, in the tasks' order.
     """
 
     def change(record: Struct | None) -> Result:
-        job = _startable(record)
+        job = _require_startable_job(record)
         if job.entries or len(places) != job.spec.tasks:
             raise NotApplicableError("not waiting")
         attempt = job.attempt + 1
@@ -248,10 +279,15 @@
 
 
 def mark_stopping(index: int | None, attempt: int) -> Change:
-    """Write down that a task (all of a gang: None) is to be stopped, before it is told."""
+    """Return an edit that records that a task is to be stopped, before the worker is told.
+
+    Args:
+        index: The task's index, or None for all tasks of the attempt (a gang).
+        attempt: The attempt to stop.
+    """
 
     def change(record: Struct | None) -> Result:
-        job = _job(record)
+        job = _require_job(record)
         entries = [
             msgspec.structs.replace(e, stage=STOPPING)
             if e.stage == PLACED and e.attempt == attempt and index in (None, e.index)
@@ -265,66 +301,79 @@
     return change
 
 
-def _without(job: JobRecord, index: int, machine: str, attempt: int) -> list[Entry]:
-    kept = [
+def _entries_without(job: JobRecord, index: int, machine: str, attempt: int) -> list[Entry]:
+    remaining = [
         e
         for e in job.entries
         if not (e.index == index and e.machine == machine and e.attempt == attempt)
     ]
-    if len(kept) == len(job.entries):
+    if len(remaining) == len(job.entries):
         raise NotApplicableError("not there")
-    return kept
+    return remaining
 
 
 def mark_gone(index: int, machine: str, attempt: int) -> Change:
-    """The task's place is proven gone; it waits again, or its cancelled job ends."""
+    """Return an edit for a task that is known not to run on its machine any more.
+
+    The task waits again; if its job is cancelled and this was the last entry, the job ends.
+    """
 
     def change(record: Struct | None) -> Result:
-        job = _job(record)
+        job = _require_job(record)
         return end_if_complete(
-            msgspec.structs.replace(job, entries=_without(job, index, machine, attempt))
+            msgspec.structs.replace(job, entries=_entries_without(job, index, machine, attempt))
         )
 
     return change
 
 
 def mark_done(index: int, machine: str, attempt: int) -> Change:
-    """The task is done. A gang completes together: one done task means all are."""
+    """Return an edit for a task that is done.
+
+    The tasks of a gang complete together: if one is done, all are.
+    """
 
     def change(record: Struct | None) -> Result:
-        job = _job(record)
-        kept = _without(job, index, machine, attempt)
+        job = _require_job(record)
+        remaining = _entries_without(job, index, machine, attempt)
         if job.status == records.CANCELLED:
-            return end_if_complete(msgspec.structs.replace(job, entries=kept))
+            return end_if_complete(msgspec.structs.replace(job, entries=remaining))
         if job.spec.shape == "ensemble":
             if job.guest is None:
                 return Ending(records.DONE, job.spec.tasks)
-            whole = [(0, job.spec.tasks - 1)]
-            return end_if_complete(msgspec.structs.replace(job, entries=[], done=whole))
+            all_tasks = [(0, job.spec.tasks - 1)]
+            return end_if_complete(msgspec.structs.replace(job, entries=[], done=all_tasks))
         done = records.add_done(job.done, index)
-        return end_if_complete(msgspec.structs.replace(job, entries=kept, done=done, errors=0))
+        return end_if_complete(msgspec.structs.replace(job, entries=remaining, done=done, errors=0))
 
     return change
 
 
-def mark_failed(index: int, machine: str, attempt: int, wall: float) -> Change:
-    """The task ended with an error: it waits again, longer after each error.
+def mark_failed(index: int, machine: str, attempt: int, failed_at: float) -> Change:
+    """Return an edit for a task that ended with an error; the job's tasks are retried later.
 
-    A job submitted with a mistake fails everywhere until its user cancels it;
-    without the pause it would take machine after machine from the others.
+    The delay doubles with each error in a row, from 0.5 s up to 60 s. A job with a faulty description
+    fails everywhere until its user cancels it, and without a delay it would occupy one
+    machine after another.
+
+    Args:
+        index: The task's index.
+        machine: The machine on which it failed.
+        attempt: The attempt that failed.
+        failed_at: Wall-clock time of the failure in seconds.
     """
 
     def change(record: Struct | None) -> Result:
-        job = _job(record)
+        job = _require_job(record)
         errors = job.errors + 1
-        pause = min(60.0, 0.5 * 2 ** min(errors - 1, 7))
+        retry_delay_s = min(60.0, 0.5 * 2 ** min(errors - 1, 7))
         return end_if_complete(
             msgspec.structs.replace(
                 job,
-                entries=_without(job, index, machine, attempt),
+                entries=_entries_without(job, index, machine, attempt),
                 errors=errors,
-                retry_at=wall + pause,
-                # Tried elsewhere next: that tells a faulty machine from a faulty job.
+                retry_at=failed_at + retry_delay_s,
+                # The next attempt runs elsewhere, to tell a faulty machine from a faulty job.
                 failed_on=[*(m for m in job.failed_on if m != machine), machine][-4:],
             )
         )
@@ -333,20 +382,22 @@
 
 
 class TaskTransition(NamedTuple):
-    """An owner's edit in a form that can be sent to the leader."""
+    """An owner's edit of a job record, in a form that can be sent to the leader."""
 
-    kind: str
-    tasks: tuple[TaskRef, ...]
+    kind: str  # one of TRANSITION_KINDS
+    tasks: tuple[TaskRef, ...]  # one task, or several for "place"
     owner: str
-    at: float = 0.0
+    created_at: float = 0.0  # wall-clock time in seconds; used for "failed"
 
     def is_valid(self) -> bool:
-        """False for what no owner would send."""
-        several = self.kind == "place"
-        return self.kind in KINDS and (len(self.tasks) == 1 or (several and bool(self.tasks)))
+        """Return whether the kind is known and the number of tasks fits it."""
+        allows_several = self.kind == "place"
+        return self.kind in TRANSITION_KINDS and (
+            len(self.tasks) == 1 or (allows_several and bool(self.tasks))
+        )
 
     def to_change(self) -> Change:
-        """The edit that the step stands for."""
+        """Return the edit that the transition stands for."""
         if self.kind == "place":
             return place(self.owner, self.tasks)
         task = self.tasks[0]
@@ -359,8 +410,8 @@
         if self.kind == "finish":
             return mark_done(task.number, task.machine, task.attempt)
         if self.kind == "failed":
-            return mark_failed(task.number, task.machine, task.attempt, self.at)
+            return mark_failed(task.number, task.machine, task.attempt, self.created_at)
         return unassign(task.number, self.owner)
 
 
-KINDS = frozenset({"place", "stop", "stop_all", "gone", "finish", "failed", "undeal"})
+TRANSITION_KINDS = frozenset({"place", "stop", "stop_all", "gone", "finish", "failed", "undeal"})
