--- a/coursefold/coordination/cancellations.py
+++ b/coursefold/coordination/cancellations.py
@@ -1,17 +1,19 @@
-"""Cancellations that a sibling may have promised and we may not have seen.
-
-Without the state service we go on renewing our workers' leases, and each promised
-cancellation has to hold all the same. Seen: the state service refused the leader alone,
-another controller confirmed cancellations, then it was down for all. Everybody was
-without it, the leader took that for proof that nobody could have promised anything,
-and cancelled tasks ran on for as long as the outage.
-
-So controllers tell each other up to which revision their records are complete, and
-hand over the cancelled jobs with a later one. Who is cancelled and has no task left is
-not told: its ending was written on proof that its places are gone. A controller confirms
-a cancellation only once its own records show it, so what a process told at a moment is all
-that it can have confirmed until then. What was handed over is stopped at once and never
-started, and forgotten once our own records have come as far; no user is answered by it.
+"""Exchange of cancellations between the controllers of a cell.
+
+During an outage of the state service controllers go on renewing their workers' leases, and
+each cancellation that any controller has confirmed to a user must hold all the same. That
+nobody can reach the state service any more does not prove that nobody confirmed a
+cancellation: if it first refuses the leader alone, another controller may confirm some
+before it is down for all. The leader would then renew the leases of cancelled tasks for as
+long as the outage lasts.
+
+So controllers tell each other up to which revision their records are complete, and send the
+jobs that were cancelled at a later revision than the receiver's. Cancelled jobs without
+tasks are not sent: their endings were written only when their tasks were known to have
+stopped. A controller confirms a cancellation only once its own records show it, so a message
+covers all that its sender can have confirmed before it was sent. A cancellation known from a
+sibling only stops the job's tasks at once and keeps it from starting. It is dropped once the
+own records have reached its revision; users' requests are not answered from it.
 """
 
 import logging
@@ -24,75 +26,93 @@
 
 log = logging.getLogger(__name__)
 
-LEAST_TOLD = 1000  # in one frame, at 30 bytes each
-MOST_TOLD = 8000  # 240 KiB
-CONFIRMED_S = 10.0  # a listener's records are seldom older while there is a state service
-AHEAD = 1000  # revisions that a sibling may be ahead of us at any time
+# Bounds of the number of cancellations in one frame, at 30 bytes each (8000: 240 KiB).
+MIN_FRAME_CANCELLATIONS = 1000
+MAX_FRAME_CANCELLATIONS = 8000
+MAX_RECORDS_AGE_S = 10.0  # of a receiver's records; seldom more while the state service works
+MAX_REVISIONS_AHEAD = 1000  # of a sibling's records, besides those that writes account for
 
 
 def max_cancellations_per_frame(ctx: Context) -> int:
-    """Cancellations in one frame: more than are confirmed before a listener's next news."""
+    """Return how many cancellations one frame may hold.
+
+    These are more than can be confirmed before the receiver's own records are updated.
+    """
     rate = ctx.settings.params.state.write_rps
-    return min(MOST_TOLD, max(LEAST_TOLD, int(CONFIRMED_S * rate)))
+    return min(MAX_FRAME_CANCELLATIONS, max(MIN_FRAME_CANCELLATIONS, int(MAX_RECORDS_AGE_S * rate)))
 
 
 def fill_message(ctx: Context, member: str, body: peer_pb2.Cancellations) -> None:
-    """What we know and the sibling, by its own last word, may not."""
+    """Add the cancellations that the sibling may not know, by its last message, to `body`."""
     view = ctx.view
     peer = ctx.peers.get(member)
     body.ledger, body.roster = view.ledger, view.token
     body.since = peer.ledger if peer else 0
-    stamps = [(view.stamp(job_key(name)), name) for name in view.cancelled]
-    found = sorted(((s, n) for s, n in stamps if s > body.since), reverse=True)
-    most = max_cancellations_per_frame(ctx)
-    if len(found) > most:
-        body.since = found[most][0]  # the sibling sees that it was not told all
-    for stamp, name in found[:most]:
-        if stamp > body.since:
-            body.jobs.add(job=name, stamp=stamp)
-
-
-def _sound(ctx: Context, told: peer_pb2.Cancellations) -> bool:
-    """False for what no controller would say."""
+    versions = [(view.stamp(job_key(name)), name) for name in view.cancelled]
+    unknown = sorted(((v, n) for v, n in versions if v > body.since), reverse=True)
+    limit = max_cancellations_per_frame(ctx)
+    if len(unknown) > limit:
+        body.since = unknown[limit][0]  # the sibling sees that older ones are missing
+    for version, name in unknown[:limit]:
+        if version > body.since:
+            body.jobs.add(job=name, stamp=version)
+
+
+def _is_plausible(ctx: Context, message: peer_pb2.Cancellations) -> bool:
+    """Return whether a controller could have sent the message.
+
+    Revisions in it may be ahead of the own records by what can be written in the time since
+    those were updated.
+    """
     state = ctx.settings.params.state
     silence = max(0.0, ctx.now - ctx.follow_ok_at)
-    latest = ctx.view.ledger + AHEAD + int(4 * state.write_rps * (silence + 10.0))
+    latest = ctx.view.ledger + MAX_REVISIONS_AHEAD + int(4 * state.write_rps * (silence + 10.0))
     return (
-        len(told.jobs) <= max_cancellations_per_frame(ctx)
-        and told.ledger <= latest
-        and told.roster <= latest
-        and all(is_job_id(c.job) and told.since < c.stamp <= latest for c in told.jobs)
+        len(message.jobs) <= max_cancellations_per_frame(ctx)
+        and message.ledger <= latest
+        and message.roster <= latest
+        and all(is_job_id(c.job) and message.since < c.stamp <= latest for c in message.jobs)
     )
 
 
-def apply_message(ctx: Context, peer: PeerView, told: peer_pb2.Cancellations, sent: Moment) -> None:
-    """Note a sibling's word: what it hands over, and up to when nothing of it is unknown to us."""
+def apply_message(
+    ctx: Context, peer: PeerView, message: peer_pb2.Cancellations, sent_at: Moment
+) -> None:
+    """Store a sibling's cancellations, and until when all that it confirmed is known here.
+
+    Args:
+        ctx: The shared state.
+        peer: What is known of the sibling.
+        message: The sibling's message.
+        sent_at: The earliest local time at which the message may have been sent.
+    """
     if not ctx.view.loaded:
         return
-    if not _sound(ctx, told):
-        log.error("cancellations told by %s make no sense and are dropped", peer.member)
+    if not _is_plausible(ctx, message):
+        log.error("dropping implausible cancellations from member %s", peer.member)
         return
-    peer.ledger, peer.roster = told.ledger, told.roster
-    for item in told.jobs:
+    peer.ledger, peer.roster = message.ledger, message.roster
+    for item in message.jobs:
         name = JobId(item.job)
         if item.stamp > max(ctx.view.ledger, ctx.handed.get(name, 0)):
             if name not in ctx.handed:
                 ctx.handed_now.append(name)
-                log.info("cancel %s: known to %s and not yet to us", name, peer.member)
+                log.info("cancel %s: reported by %s, not in the own records yet", name, peer.member)
             ctx.handed[name] = item.stamp
     if (
-        told.since <= ctx.view.ledger  # we know all that came before what it handed over
-        and told.roster <= ctx.view.token  # else our machines may be another's by now
-        and _same_process(ctx, peer)
+        message.since <= ctx.view.ledger  # the own records have all that the message leaves out
+        and message.roster <= ctx.view.token  # else the machines may have another owner by now
+        and _is_known_process(ctx, peer)
     ):
-        peer.known_until = max(peer.known_until, sent)
+        peer.known_until = max(peer.known_until, sent_at)
 
 
-def _same_process(ctx: Context, peer: PeerView) -> bool:
-    """Was the sibling's process there at our last news?
+def _is_known_process(ctx: Context, peer: PeerView) -> bool:
+    """Return whether the sibling's process is one that existed at the last update of the records.
 
-    A new one does not know what its former self confirmed. The lease's number tells them
-    apart: it is the one of the roster that we hold, or we had heard of it before.
+    A restarted process does not know what the previous one confirmed. The lease id tells the
+    processes apart: a known process has the lease id of the roster that is known here, or its
+    lease id was known before the last update.
     """
     roster = ctx.view.roster
     member = roster.member(peer.member) if roster else None
@@ -104,22 +124,26 @@
 
 
 def known_until(ctx: Context) -> float:
-    """The moment up to which we know every cancellation that anybody confirmed."""
+    """Return the moment up to which every cancellation that any controller confirmed is known."""
     siblings = ctx.settings.siblings
     if not siblings:
         return ctx.now
-    told = [p.known_until if (p := ctx.peers.get(s.member)) else -1e9 for s in siblings]
-    return max(ctx.follow_ok_at, min(told))
+    moments = [p.known_until if (p := ctx.peers.get(s.member)) else -1e9 for s in siblings]
+    return max(ctx.follow_ok_at, min(moments))
 
 
 def prune(ctx: Context) -> None:
-    """Drop what our own records show by now."""
-    for name in [n for n, stamp in ctx.handed.items() if stamp <= ctx.view.ledger]:
+    """Drop siblings' cancellations that the own records contain by now."""
+    for name in [n for n, version in ctx.handed.items() if version <= ctx.view.ledger]:
         del ctx.handed[name]
 
 
 def is_cancelled_or_expired(ctx: Context, name: JobId) -> bool:
-    """Is the job cancelled, by our records or by a sibling's word, or its grant over?"""
+    """Return whether the job must not run here.
+
+    It is cancelled by the own records or by a sibling's message, or the grant under which it
+    runs here for another cell has expired.
+    """
     job = ctx.view.jobs.get(name)
     if job is not None and job.status == records.CANCELLED:
         return True
--- a/coursefold/coordination/forward.py
+++ b/coursefold/coordination/forward.py
@@ -1,10 +1,10 @@
-"""Owners' edits of job records, sent to the leader, which commits them together.
+"""Forwarding of owners' edits of job records to the leader, which commits them together.
 
-Several writers to one record make each other's transactions fail, and failed
-ones count against the state service's rate too. So an owner proposes and the
-leader writes, as long as they hear each other; else the owner writes itself.
-Both ways carry the same edit, checked against the record when it is made and
-fenced by the roster: it may be repeated, late, or made twice, to no effect.
+Several controllers that write the same record make each other's transactions fail, and failed
+transactions count against the state service's rate limit too. So an owner proposes its edits
+to the leader as long as the two are connected, and writes them itself otherwise. Either way
+it is the same edit, which is checked against the record when it is applied and fenced by the
+roster. So an edit that is repeated, late or applied by both has no further effect.
 """
 
 import logging
@@ -20,103 +20,119 @@
 
 log = logging.getLogger(__name__)
 
-HEARD_S = 1.6
-WAIT_S = 6.0
+MAX_LEADER_SILENCE_S = 1.6
+OUTCOME_TIMEOUT_S = 6.0
 
 
 class SentProposal(NamedTuple):
-    """A proposal under way."""
+    """A proposal whose outcome is not known yet."""
 
     edit: Edit
-    leader: str
-    token: int
-    at: float
+    leader: str  # the member that it was sent to
+    token: int  # of the roster under which it was sent
+    sent_at: float  # local time in seconds
     proposal: peer_pb2.Proposal
 
 
 class ProposalForwarder:
-    """Both sides: what we proposed to the leader, and what owners proposed to us."""
+    """Sends an owner's proposals to the leader, and handles those received as the leader."""
 
-    def __init__(self, ctx: Context, tellers: dict[str, PeerFrameBuilder]) -> None:
-        self.ctx, self.tellers = ctx, tellers
-        self.sent: dict[int, SentProposal] = {}
-        self.landed: list[peer_pb2.Outcome] = []
-        self.taken: set[tuple[str, int]] = set()
-        self.last_id = 0
+    def __init__(self, ctx: Context, frame_builders: dict[str, PeerFrameBuilder]) -> None:
+        self.ctx, self.frame_builders = ctx, frame_builders
+        self.sent: dict[int, SentProposal] = {}  # by proposal id
+        self.received_outcomes: list[peer_pb2.Outcome] = []
+        self.queued_proposals: set[tuple[str, int]] = set()  # by owner and proposal id
+        self.last_proposal_id = 0
 
-    def _leader(self) -> str | None:
-        """The leader, if it is another node and hears us."""
+    def _reachable_leader(self) -> str | None:
+        """Return the leader if it is another controller and connected, else None."""
         ctx = self.ctx
         roster = ctx.view.roster
-        if roster is None or roster.leader == ctx.me or roster.leader not in self.tellers:
+        if roster is None or roster.leader == ctx.me or roster.leader not in self.frame_builders:
             return None
         peer = ctx.peers.get(roster.leader)
-        if peer is None or ctx.now - peer.at > HEARD_S or peer.token != ctx.view.token:
+        if peer is None or ctx.now - peer.at > MAX_LEADER_SILENCE_S or peer.token != ctx.view.token:
             return None
         return roster.leader
 
-    def propose(self, job: JobId, step: TaskTransition, edit: Edit) -> bool:
-        """Propose an edit to the leader, or queue it here. False if its like is under way."""
+    def propose(self, job: JobId, transition: TaskTransition, edit: Edit) -> bool:
+        """Propose an edit to the leader, or queue it here if the leader is not reachable.
+
+        Returns:
+            False if an edit of the same record with the same tag is under way already.
+        """
         ctx = self.ctx
-        leader = self._leader()
+        leader = self._reachable_leader()
         if leader is None:
             return ctx.queue.propose(edit)
         if not ctx.queue.claim(edit):
             return False
-        self.last_id = max(self.last_id + 1, int(ctx.wall * 1000))
+        self.last_proposal_id = max(self.last_proposal_id + 1, int(ctx.wall * 1000))
         proposal = peer_pb2.Proposal(
-            id=self.last_id, token=ctx.view.token, job=job, kind=step.kind, at=step.created_at
+            id=self.last_proposal_id,
+            token=ctx.view.token,
+            job=job,
+            kind=transition.kind,
+            at=transition.created_at,
         )
-        for task in step.tasks:
+        for task in transition.tasks:
             proposal.tasks.add(**task._asdict())
-        self.sent[self.last_id] = SentProposal(edit, leader, ctx.view.token, ctx.now, proposal)
-        self.tellers[leader].proposals.append(proposal)
+        self.sent[self.last_proposal_id] = SentProposal(
+            edit, leader, ctx.view.token, ctx.now, proposal
+        )
+        self.frame_builders[leader].proposals.append(proposal)
         return True
 
     def resend_proposals(self, member: str) -> None:
-        """A new connection to a sibling: what the old one may have lost is said again."""
-        teller = self.tellers[member]
-        teller.proposals = [s.proposal for s in self.sent.values() if s.leader == member]
+        """Send unanswered proposals again on a new connection; the old one may have lost them."""
+        frame_builder = self.frame_builders[member]
+        frame_builder.proposals = [s.proposal for s in self.sent.values() if s.leader == member]
 
     def tick(self) -> None:
-        """Settle what has landed; write ourselves what the leader does not."""
+        """Settle edits whose outcome has arrived, and queue here those that got no outcome.
+
+        An edit is also queued here if the leader is not reachable any more, or was replaced.
+        """
         ctx = self.ctx
-        if self.landed:
-            still = []
-            for outcome in self.landed:
+        if self.received_outcomes:
+            not_visible_yet = []
+            for outcome in self.received_outcomes:
                 if outcome.ledger > ctx.view.ledger:
-                    still.append(outcome)  # settled once our view shows it
+                    not_visible_yet.append(outcome)  # settled once the view contains the edit
                     continue
                 sent = self.sent.pop(outcome.id, None)
                 if sent is not None:
                     ctx.queue.settle(sent.edit, outcome.ok, outcome.why)
-            self.landed = still
+            self.received_outcomes = not_visible_yet
         if not self.sent:
             return
-        leader = self._leader()
+        leader = self._reachable_leader()
         for id, sent in list(self.sent.items()):
             if sent.leader == leader and sent.token == ctx.view.token:
-                if ctx.now - sent.at < WAIT_S:
+                if ctx.now - sent.sent_at < OUTCOME_TIMEOUT_S:
                     continue
-                log.debug("proposal %d unanswered by %s", id, sent.leader)
+                log.debug("no outcome of proposal %d from %s; queueing it here", id, sent.leader)
             del self.sent[id]
             ctx.queue.release(sent.edit)
             ctx.queue.propose(sent.edit)
 
-    def receive_outcomes(self, found: list[peer_pb2.Outcome]) -> None:
-        """Note what the leader says became of our proposals."""
-        for outcome in found:
+    def receive_outcomes(self, received: list[peer_pb2.Outcome]) -> None:
+        """Store the outcomes of own proposals that the leader has sent."""
+        for outcome in received:
             if outcome.id in self.sent:
-                self.landed.append(outcome)
+                self.received_outcomes.append(outcome)
+
+    def receive_proposals(self, sender: str, received: list[peer_pb2.Proposal]) -> None:
+        """Queue the edits that an owner has proposed, and send it their outcomes.
 
-    def receive_proposals(self, sender: str, found: list[peer_pb2.Proposal]) -> None:
-        """An owner's edits: queue them, and tell what became of them."""
+        A proposal that is received again while its edit is queued is ignored.
+        """
         ctx = self.ctx
-        for item in found:
+        for item in received:
             key = (sender, item.id)
-            if key in self.taken:
+            if key in self.queued_proposals:
                 continue
-            step = TaskTransition(
+            transition = TaskTransition(
                 item.kind,
                 tuple(
                     TaskRef(t.number, t.attempt, t.zone, t.machine, t.session) for t in item.tasks
@@ -125,24 +141,26 @@
                 item.at,
             )
             if not ctx.leading() or item.token != ctx.view.token:
-                self._answer(sender, item.id, False, "not leading", 0)
+                self._add_outcome(sender, item.id, False, "not leading", 0)
                 continue
-            if not is_job_id(item.job) or not step.is_valid():
-                log.error("proposal of %s makes no sense: %s %s", sender, item.kind, item.job[:60])
-                self._answer(sender, item.id, False, "malformed", 0)
+            if not is_job_id(item.job) or not transition.is_valid():
+                log.error("malformed proposal from %s: %s %s", sender, item.kind, item.job[:60])
+                self._add_outcome(sender, item.id, False, "malformed", 0)
                 continue
-            self.taken.add(key)
+            self.queued_proposals.add(key)
             job = JobId(item.job)
 
             def settled(ok: bool, why: str, id: int = item.id, job: JobId = job) -> None:
-                self.taken.discard((sender, id))
-                self._answer(sender, id, ok, why, ctx.view.changed_at(job_key(job)))
+                self.queued_proposals.discard((sender, id))
+                self._add_outcome(sender, id, ok, why, ctx.view.changed_at(job_key(job)))
 
             ctx.queue.propose(
-                Edit(job_key(job), step.to_change(), rank=SOON, fence=item.token, done=settled)
+                Edit(
+                    job_key(job), transition.to_change(), rank=SOON, fence=item.token, done=settled
+                )
             )
 
-    def _answer(self, member: str, id: int, ok: bool, why: str, ledger: int) -> None:
-        teller = self.tellers.get(member)
-        if teller is not None:
-            teller.outcomes.append(peer_pb2.Outcome(id=id, ok=ok, why=why, ledger=ledger))
+    def _add_outcome(self, member: str, id: int, ok: bool, why: str, revision: int) -> None:
+        frame_builder = self.frame_builders.get(member)
+        if frame_builder is not None:
+            frame_builder.outcomes.append(peer_pb2.Outcome(id=id, ok=ok, why=why, ledger=revision))
--- a/coursefold/coordination/jobs.py
+++ b/coursefold/coordination/jobs.py
@@ -352,9 +352,9 @@
 def mark_failed(index: int, machine: str, attempt: int, failed_at: float) -> Change:
     """Return an edit for a task that ended with an error; the job's tasks are retried later.
 
-    The delay doubles with each error in a row, from 0.5 s up to 60 s. A job with a faulty description
-    fails everywhere until its user cancels it, and without a delay it would occupy one
-    machine after another.
+    The delay doubles with each error in a row, from 0.5 s up to 60 s. A job with a faulty
+    description fails everywhere until its user cancels it, and without a delay it would
+    occupy one machine after another.
 
     Args:
         index: The task's index.
--- a/coursefold/coordination/placing.py
+++ b/coursefold/coordination/placing.py
@@ -108,4 +108,4 @@
                 log.debug("place %s on %s: %s", name, where, why)
 
         step = jobs.TaskTransition("place", tuple(tasks), ctx.me)
-        self.steps.write(name, step, "", SOON, settled)
+        self.steps.propose_transition(name, step, "", SOON, settled)
--- a/coursefold/coordination/transitions.py
+++ b/coursefold/coordination/transitions.py
@@ -1,4 +1,4 @@
-"""Steps of tasks that an owner has written, by the leader or by itself."""
+"""Proposes task transitions for an owner; the leader or the owner itself writes them."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class TransitionProposer:
-    """Proposes steps; `forward` brings them to the leader."""
+    """Proposes task transitions; `forward` passes them to the leader or to the own queue."""
 
     def __init__(self, ctx: Context, forward: ForwardTransition) -> None:
         self.ctx, self.forward = ctx, forward
@@ -21,27 +21,51 @@
         self, job_id: JobId, kind: str, entry: Entry, tag: str, *, machine: str = "",
         rank: int = SOON,
     ) -> bool:  # fmt: skip
-        """Have one task's step written; False if it is under way already."""
+        """Propose a transition of one task.
+
+        Args:
+            job_id: The task's job.
+            kind: The kind of transition, one of `jobs.TRANSITION_KINDS` except "place".
+            entry: The task's entry in the job's record.
+            tag: Within the job, the same for repetitions of the same transition.
+            machine: The task's machine, for kinds that need it.
+            rank: The edit's rank in the commit queue.
+
+        Returns:
+            False if a transition with the same tag is under way already.
+        """
         task = jobs.TaskRef(entry.index, entry.attempt, machine=machine)
-        return self.write(
+        return self.propose_transition(
             job_id, jobs.TaskTransition(kind, (task,), self.ctx.me, self.ctx.wall), tag, rank
         )
 
-    def write(
+    def propose_transition(
         self,
         job_id: JobId,
-        step: jobs.TaskTransition,
+        transition: jobs.TaskTransition,
         tag: str,
         rank: int = SOON,
         done: Callable[[bool, str], None] | None = None,
     ) -> bool:
-        """Have a step of a job written; False if one with the same tag is under way."""
+        """Propose a transition.
+
+        Args:
+            job_id: The job whose record changes.
+            transition: The transition.
+            tag: Within the job, the same for repetitions of the same transition; empty if
+                each one counts.
+            rank: The edit's rank in the commit queue.
+            done: Called with the outcome: whether the edit was committed, and if not, why.
+
+        Returns:
+            False if a transition with the same tag is under way already.
+        """
         edit = Edit(
             job_key(job_id),
-            step.to_change(),
+            transition.to_change(),
             rank=rank,
             fence=self.ctx.view.token,
             tag=tag,
             done=done,
         )
-        return self.forward(job_id, step, edit)
+        return self.forward(job_id, transition, edit)
