--- a/coursefold/coordination/election.py
+++ b/coursefold/coordination/election.py
@@ -1,9 +1,9 @@
-"""Membership and leadership.
+"""Membership and leader election.
 
-Every live controller keeps a key attached to its lease. The roster key names
-the leader and the members that own machines; whoever changes it does so under
-the roster's own Stamp, so of two candidates one fails. That Stamp is the token
-that workers see, and every decision of a leader or owner is fenced by it.
+Every live controller has a member key attached to its lease. The roster key names the leader
+and the members that own machines. It is changed only if its version is still the expected
+one, so of two candidates that write it at the same time one fails. The roster's version is
+the fencing token that workers see, and every decision of a leader or owner is fenced by it.
 """
 
 import logging
@@ -20,174 +20,190 @@
 
 log = logging.getLogger(__name__)
 
-UNREACHABLE_S = 3.0  # a sibling that is not heard for longer may be gone
-JOINS_GATHERED_S = 0.6  # each roster is a new token that every worker has to show
+MAX_SIBLING_SILENCE_S = 3.0  # after a longer silence a sibling may be down
+JOIN_BATCH_S = 0.6  # joins are batched: each roster is a new token that every worker must show
 MISDIRECTED_WINDOW_S = 10.0
-MISDIRECTED_KEPT = 4  # reports of one worker
-MISDIRECTED_APART_S = 1.0  # a worker that comes twice within less is being redirected
-HEARD_AGAIN_S = 1.5
-EVICTED_AT_LEAST_S = 2.0
-CANDIDATE_STEP_S = 0.3  # between one candidate's attempt to lead and the next one's
+MAX_MISDIRECTED_PER_WORKER = 4  # reports of one worker for one owner
+MIN_MISDIRECTED_SPAN_S = 1.0  # a worker with two reports within less is being redirected
+REACHABLE_SILENCE_S = 1.5
+MIN_EVICTION_S = 2.0
+CANDIDATE_INTERVAL_S = 0.3  # between the attempts of two candidates to become leader
 
 
 class Election:
-    """Keeps our member key, leads or takes over."""
+    """Keeps the own member key, and the roster while this controller leads or takes over.
+
+    Attributes:
+        leaderless_since: Since when no live leader is known; None while there is one.
+        misdirected_reports: By owner and machine, when workers of that owner reported here.
+        evicted_at: By member, when it was last found to be unreachable.
+        proposed_members: Changed membership that waits for JOIN_BATCH_S.
+    """
 
     def __init__(self, ctx: Context, upgrade: Upgrade) -> None:
         self.ctx, self.upgrade = ctx, upgrade
         self.leaderless_since: float | None = None
-        # When workers came to us with reports for another owner, by owner and machine.
-        self.misdirected: dict[str, dict[str, list[float]]] = {}
-        self.evicted: dict[str, float] = {}
-        self.coming: list[MemberRecord] | None = None
-        self.coming_at = self.coming_since = 0.0
+        self.misdirected_reports: dict[str, dict[str, list[float]]] = {}
+        self.evicted_at: dict[str, float] = {}
+        self.proposed_members: list[MemberRecord] | None = None
+        self.proposal_changed_at = self.proposal_started_at = 0.0
 
     def record_misdirected(self, owner: str, machine: str) -> None:
-        """A worker came to us although `owner` is the one to report to."""
-        times = self.misdirected.setdefault(owner, {}).setdefault(machine, [])
+        """Record that a worker reported here although `owner` owns its machine."""
+        times = self.misdirected_reports.setdefault(owner, {}).setdefault(machine, [])
         times.append(self.ctx.now)
-        del times[:-MISDIRECTED_KEPT]
+        del times[:-MAX_MISDIRECTED_PER_WORKER]
 
     def unreachable_for_workers(self) -> set[str]:
-        """Members whose workers keep coming here: they cannot reach them."""
-        found = set()
-        for owner, machines in self.misdirected.items():
+        """Return the members whose workers keep reporting here because they cannot reach them."""
+        unreachable = set()
+        for owner, machines in self.misdirected_reports.items():
             for machine, times in list(machines.items()):
                 recent = [t for t in times if t > self.ctx.now - MISDIRECTED_WINDOW_S]
                 if not recent:
                     del machines[machine]
-                elif len(recent) >= 2 and recent[-1] - recent[0] > MISDIRECTED_APART_S:
-                    found.add(owner)
-        return found
+                elif len(recent) >= 2 and recent[-1] - recent[0] > MIN_MISDIRECTED_SPAN_S:
+                    unreachable.add(owner)
+        return unreachable
 
-    def _hears(self, member: str) -> bool:
+    def _is_connected(self, member: str) -> bool:
         peer = self.ctx.peers.get(member)
-        return peer is not None and self.ctx.now - peer.at <= UNREACHABLE_S
+        return peer is not None and self.ctx.now - peer.at <= MAX_SIBLING_SILENCE_S
 
-    def _unreachable(self) -> set[str]:
-        """Members that workers cannot reach and that we do not hear.
+    def _unreachable_members(self) -> set[str]:
+        """Return the members that neither their workers nor this controller can reach.
 
-        Not hearing one means nothing where we hear nobody. Seen: siblings refused each
-        other just after one was cut off, each took the others for gone, and the roster
-        changed hands four times a second for as long as that lasted.
+        Nobody is returned if this controller receives no frames from any sibling, as the
+        fault may be its own. Otherwise, when siblings refuse each other's connections after
+        one of them was cut off, each would evict the others, and the roster would change
+        hands four times a second.
         """
         ctx = self.ctx
         others = [name for name in ctx.view.members if name != ctx.me]
-        if len(others) > 1 and not any(self._hears(name) for name in others):
+        if len(others) > 1 and not any(self._is_connected(name) for name in others):
             return set()
         reported = self.unreachable_for_workers()
         for peer in ctx.peers.values():
-            if ctx.now - peer.at < UNREACHABLE_S:
+            if ctx.now - peer.at < MAX_SIBLING_SILENCE_S:
                 reported |= peer.unreachable_for_workers
-        if ctx.started is None or ctx.now - ctx.started < UNREACHABLE_S + 1.0:
+        if ctx.started is None or ctx.now - ctx.started < MAX_SIBLING_SILENCE_S + 1.0:
             return set()
-        return {name for name in reported if name != ctx.me and not self._hears(name)}
+        return {name for name in reported if name != ctx.me and not self._is_connected(name)}
 
     def tick(self) -> None:
-        """Join, keep the roster up to date while leading, or take over."""
+        """Join, update the roster while leading, or take over if there is no leader."""
         ctx = self.ctx
         if not ctx.view.loaded or not ctx.permit or ctx.now >= ctx.lease_until:
             return
-        mine = ctx.view.members.get(ctx.me)
-        if mine is None or mine.permit != ctx.permit:
+        own_record = ctx.view.members.get(ctx.me)
+        if own_record is None or own_record.permit != ctx.permit:
             self._join()
             return
         if not self.upgrade.has_current_version(ctx.me):
-            return  # what we wrote of our version is on its way
+            return  # the own version record is written but not in the view yet
         self._update_evicted()
         roster = ctx.view.roster
-        members = self._eligible()
+        members = self._eligible_members()
         if roster is not None and roster.leader == ctx.me and ctx.my_record() is not None:
             self.leaderless_since = None
-            self._maintain(roster, members)
+            self._update_roster(roster, members)
         elif roster is not None and self._leader_is_live(roster):
             self.leaderless_since = None
         else:
             self._take_over(roster, members)
 
     def _update_evicted(self) -> None:
-        """Evict members out of reach; take them back once they have been heard again."""
+        """Evict unreachable members, and readmit them once they are reachable again."""
         ctx = self.ctx
-        for name in sorted(self._unreachable()):
-            if name not in self.evicted:
-                log.info("member %s is out of reach of its workers and of us", name)
-            self.evicted[name] = ctx.now
-        for name in list(self.evicted):
+        for name in sorted(self._unreachable_members()):
+            if name not in self.evicted_at:
+                log.info("member %s cannot be reached by its workers nor by this controller", name)
+            self.evicted_at[name] = ctx.now
+        for name in list(self.evicted_at):
             peer = ctx.peers.get(name)
-            is_heard = peer is not None and ctx.now - peer.at < HEARD_AGAIN_S
-            if is_heard and ctx.now - self.evicted[name] > EVICTED_AT_LEAST_S:
-                del self.evicted[name]
+            is_reachable = peer is not None and ctx.now - peer.at < REACHABLE_SILENCE_S
+            if is_reachable and ctx.now - self.evicted_at[name] > MIN_EVICTION_S:
+                del self.evicted_at[name]
 
-    def _eligible(self) -> list[MemberRecord]:
-        """Live members that may own machines, by name."""
+    def _eligible_members(self) -> list[MemberRecord]:
+        """Return the live members that may own machines, sorted by name."""
         live = self.ctx.view.members
         return [
             live[name]
             for name in sorted(live)
             if name == self.ctx.me
-            or (name not in self.evicted and self.upgrade.has_current_version(name))
+            or (name not in self.evicted_at and self.upgrade.has_current_version(name))
         ]
 
-    def _maintain(self, roster: Roster, members: list[MemberRecord]) -> None:
+    def _update_roster(self, roster: Roster, members: list[MemberRecord]) -> None:
         """Write a new roster when the members have changed."""
         view = self.ctx.view
-        # One that was given up may come back with an old version, and must not lead.
-        closes = bool(view.given_up) and roster.level < view.level
-        if closes or (members != roster.members and self._settled(members, roster)):
-            why = "closed to older versions" if closes else "membership changed"
-            self._commit(Roster(self.ctx.me, members, view.level), why)
+        # A member that the upgrade no longer waits for may return with an older version, and
+        # must not become leader then.
+        closes_to_older_versions = bool(view.given_up) and roster.level < view.level
+        if closes_to_older_versions or (
+            members != roster.members and self._may_commit_members(members, roster)
+        ):
+            why = "closed to older versions" if closes_to_older_versions else "membership changed"
+            self._commit_roster(Roster(self.ctx.me, members, view.level), why)
 
     def _leader_is_live(self, roster: Roster) -> bool:
-        """Does the roster's leader still hold its lease, in the same incarnation, in reach?"""
+        """Return whether the leader is reachable and still the same incarnation with its lease."""
         leader = roster.member(roster.leader)
         return (
             leader is not None
             and self.ctx.view.members.get(leader.name) == leader
-            and leader.name not in self.evicted
+            and leader.name not in self.evicted_at
         )
 
     def _take_over(self, roster: Roster | None, members: list[MemberRecord]) -> None:
-        """Try to lead once our turn has come: candidates try one after the other."""
+        """Try to become leader; candidates try one after the other, in the order of their rank."""
         now = self.ctx.now
         if self.leaderless_since is None:
             self.leaderless_since = now
-        if now - self.leaderless_since >= CANDIDATE_STEP_S * self._place(members, roster):
-            self._commit(Roster(self.ctx.me, members, self.ctx.view.level), "no leader")
+        if now - self.leaderless_since >= CANDIDATE_INTERVAL_S * self._candidate_rank(
+            members, roster
+        ):
+            self._commit_roster(Roster(self.ctx.me, members, self.ctx.view.level), "no leader")
 
-    def _settled(self, members: list[MemberRecord], roster: Roster) -> bool:
-        """Is it time for a new roster? At once when a member has left; joins are gathered.
+    def _may_commit_members(self, members: list[MemberRecord], roster: Roster) -> bool:
+        """Return whether to write a roster with these members now.
 
-        Each roster is a new token that every worker has to show. Seen: five controllers
-        that came back within a second made five of them.
+        It is written at once if a member has left. Joins are batched, because each roster is
+        a new token that every worker has to show: five controllers that start within a second
+        would make five rosters.
         """
         now = self.ctx.now
-        if members != self.coming:
-            if self.coming is None:
-                self.coming_since = now
-            self.coming, self.coming_at = members, now
+        if members != self.proposed_members:
+            if self.proposed_members is None:
+                self.proposal_started_at = now
+            self.proposed_members, self.proposal_changed_at = members, now
         names = {m.name for m in members}
-        gone = any(m.name not in names for m in roster.members)
+        has_departures = any(m.name not in names for m in roster.members)
         if (
-            gone
-            or now - self.coming_at >= JOINS_GATHERED_S
-            or now - self.coming_since >= 3 * JOINS_GATHERED_S
+            has_departures
+            or now - self.proposal_changed_at >= JOIN_BATCH_S
+            or now - self.proposal_started_at >= 3 * JOIN_BATCH_S
         ):
-            self.coming = None
+            self.proposed_members = None
             return True
         return False
 
-    def _place(self, members: list[MemberRecord], roster: Roster | None) -> int:
-        """Our place in line: those that served under the last roster first."""
+    def _candidate_rank(self, members: list[MemberRecord], roster: Roster | None) -> int:
+        """Return the own rank among the candidates; members of the last roster come first."""
 
-        def key(m: MemberRecord) -> tuple[bool, bytes]:
-            known = roster is not None and roster.member(m.name) == m
-            return (not known, weight(m.name, str(self.ctx.view.token)))
+        def key(member: MemberRecord) -> tuple[bool, bytes]:
+            is_known = roster is not None and roster.member(member.name) == member
+            return (not is_known, weight(member.name, str(self.ctx.view.token)))
 
-        line = sorted(members, key=key)
-        return next((i for i, m in enumerate(line) if m.name == self.ctx.me), len(line))
+        candidates = sorted(members, key=key)
+        return next((i for i, m in enumerate(candidates) if m.name == self.ctx.me), len(candidates))
 
     def _join(self) -> None:
-        """Replace our former self's key at once: it will not come back."""
+        """Write the own member key, and replace that of this member's previous process at once.
+
+        The previous process will not come back.
+        """
         ctx = self.ctx
         self.upgrade.announce_version()
         record = MemberRecord(ctx.me, ctx.permit, ctx.settings.zone)
@@ -204,17 +220,17 @@
         if ctx.queue.propose(edit):
             log.info("joining as member %s with lease %d", ctx.me, ctx.permit)
 
-    def _commit(self, roster: Roster, why: str) -> None:
+    def _commit_roster(self, roster: Roster, why: str) -> None:
         ctx = self.ctx
-        seen = ctx.view.stamp(records.ROSTER)
+        seen_version = ctx.view.stamp(records.ROSTER)
 
         def change(current: Struct | None) -> Result:
-            if ctx.view.stamp(records.ROSTER) != seen:
+            if ctx.view.stamp(records.ROSTER) != seen_version:
                 raise NotApplicableError("roster moved on")
             return msgspec.structs.replace(roster)
 
-        done_change: Change = change
-        edit = Edit(records.ROSTER, done_change, rank=FIRST, tag=f"roster{seen}")
+        roster_change: Change = change
+        edit = Edit(records.ROSTER, roster_change, rank=FIRST, tag=f"roster{seen_version}")
         if ctx.queue.propose(edit):
             names = ",".join(m.name for m in roster.members)
             log.info("roster: leader %s, members %s (%s)", roster.leader, names, why)
