--- a/coursefold/coordination/election.py
+++ b/coursefold/coordination/election.py
@@ -25,7 +25,7 @@
 MISDIRECTED_WINDOW_S = 10.0
 MAX_MISDIRECTED_PER_WORKER = 4  # reports of one worker for one owner
 MIN_MISDIRECTED_SPAN_S = 1.0  # a worker with two reports within less is being redirected
-REACHABLE_SILENCE_S = 1.5
+READMISSION_SILENCE_S = 1.5  # an evicted member must have sent a frame within this time
 MIN_EVICTION_S = 2.0
 CANDIDATE_INTERVAL_S = 0.3  # between the attempts of two candidates to become leader
 
@@ -121,7 +121,7 @@
             self.evicted_at[name] = ctx.now
         for name in list(self.evicted_at):
             peer = ctx.peers.get(name)
-            is_reachable = peer is not None and ctx.now - peer.at < REACHABLE_SILENCE_S
+            is_reachable = peer is not None and ctx.now - peer.at < READMISSION_SILENCE_S
             if is_reachable and ctx.now - self.evicted_at[name] > MIN_EVICTION_S:
                 del self.evicted_at[name]
 
--- a/coursefold/coordination/upgrade.py
+++ b/coursefold/coordination/upgrade.py
@@ -1,16 +1,16 @@
-"""The upgrade while the service runs: who has which version, and the one switch.
-
-Every process of this version writes down, under its member's name and without a lease,
-what it can read, together with its own lease's number. So a controller that is down
-keeps the version that it last had, and one that came back with an older version shows
-by a member key whose lease is another one.
-
-What older versions cannot read is written only from the switch on, a record that is
-never taken back. The leader writes it once every configured controller has this
-version. One that has never shown any, or an older one, may come back with it and is
-waited for, but not for ever. After the switch a process of an older version is kept
-from doing harm: it reads neither the roster nor, when it starts, the machine types, so
-it leads nobody, owns nothing and is not healthy.
+"""Rolling upgrade: which controller has which version, and the switch to new record formats.
+
+Every process of this version writes a version record: the level of the formats that it can
+read, and its lease id. The record's key has the member's name and no lease, so a controller
+that is down keeps the version that it had last. A controller that returned with an older
+version is recognized by a member key with another lease id.
+
+Formats that older versions cannot read are written only from the switch on, which is a level
+record that is never taken back. The leader writes it once every configured controller has
+this version. A controller that has shown no version, or an older one, may return with it, so
+the leader waits for it, but not for ever. After the switch a process of an older version can
+do no harm: it cannot read the roster nor, when it starts, the machine types, so it is not
+leader, owns no machines and is not healthy.
 """
 
 import logging
@@ -24,123 +24,139 @@
 
 log = logging.getLogger(__name__)
 
-# A controller that nobody has seen for so long stays down, as far as the switch goes.
-# Restarts take seconds; somebody who repairs a machine can be asked to upgrade it too.
-GONE_S = 300.0
-STALE_S = 5.0  # a version whose lease is not the member's, for so long: an older process
-LOOK_S = 1.0
-LOOKS = 40  # records measured at a time
+# The switch does not wait for a controller that has been down for longer. Restarts take
+# seconds; whoever repairs a machine for longer can be asked to upgrade it too.
+MAX_ABSENCE_S = 300.0
+# If a version record's lease id differs from the member's for longer, the process is older.
+MAX_STALE_VERSION_S = 5.0
+CHECK_INTERVAL_S = 1.0
+RECORDS_PER_CHECK = 40  # records whose size is checked in one round
 
 
 class Upgrade:
-    """Keeps our version known, and makes the switch while we lead."""
+    """Publishes this process's version, and makes the switch while this controller leads.
+
+    Attributes:
+        controller_names: All configured controllers.
+        absent_since: By controller that is down, since when.
+        stale_since: By member whose version record has another lease id, since when.
+        unchecked_keys: After the switch, keys of records whose size is still to be checked;
+            None while this controller does not lead.
+        required_level: The lowest format level that the enabled subsystems need.
+    """
 
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
-        self.names = [ctx.settings.member, *(s.member for s in ctx.settings.siblings)]
-        self.absent: dict[str, float] = {}
-        self.stale: dict[str, float] = {}
-        self.looked_at = -1e9
-        self.said: list[str] | None = None
-        self.unmeasured: list[str] | None = None
-        self.wanted_level = records.OURS
+        self.controller_names = [ctx.settings.member, *(s.member for s in ctx.settings.siblings)]
+        self.absent_since: dict[str, float] = {}
+        self.stale_since: dict[str, float] = {}
+        self.last_check_at = -1e9
+        self.last_reported: list[str] | None = None
+        self.unchecked_keys: list[str] | None = None
+        self.required_level = records.OURS
 
     @property
-    def level(self) -> int:
-        """The level of the forms that this process writes, once every controller can.
+    def target_level(self) -> int:
+        """The format level that this process writes once every controller can read it.
 
-        Those of a subsystem come in only where every controller has its file; from then on
-        they are read, and kept, without it too.
+        The formats of a subsystem are used only from when every controller has its
+        configuration file. From then on they are read and kept without that file, too.
         """
-        return max(self.wanted_level, min(self.ctx.view.level, records.NEWEST))
+        return max(self.required_level, min(self.ctx.view.level, records.NEWEST))
 
     def require_level(self, level: int) -> None:
-        """A subsystem that is switched on needs these forms; said before the first tick."""
-        self.wanted_level = max(self.wanted_level, level)
+        """Require a format level for an enabled subsystem; to be called before the first tick."""
+        self.required_level = max(self.required_level, level)
 
     def announce_version(self) -> None:
-        """Write down what this process can read, in the transaction in which it joins."""
+        """Write this process's version record, in the transaction in which it joins."""
         ctx = self.ctx
-        mine = Version(self.level, ctx.permit)
-        if not ctx.permit or ctx.view.versions.get(ctx.me) == mine:
+        own_version = Version(self.target_level, ctx.permit)
+        if not ctx.permit or ctx.view.versions.get(ctx.me) == own_version:
             return
 
         def change(current: Struct | None) -> Result:
-            if current == mine or mine.permit != ctx.permit:
+            if current == own_version or own_version.permit != ctx.permit:
                 raise NotApplicableError("known")
-            return mine
+            return own_version
 
         key = records.version_key(ctx.me)
         ctx.queue.propose(Edit(key, change, rank=FIRST, tag=f"version{ctx.permit}"))
 
     def has_current_version(self, member: str) -> bool:
-        """Has the member's live process this version? Before the switch it need not."""
+        """Return whether the member's live process can read the formats in use.
+
+        Before the switch every process can.
+        """
         ctx = self.ctx
         if not ctx.view.level:
             return True
-        return self._shown(member) >= ctx.view.level
+        return self._shown_level(member) >= ctx.view.level
 
-    def _shown(self, member: str) -> int:
-        """The level of a live member's process: 0 for an older version's."""
+    def _shown_level(self, member: str) -> int:
+        """Return the format level of a live member's process, 0 for one of an older version."""
         live = self.ctx.view.members.get(member)
         known = self.ctx.view.versions.get(member)
         return known.level if live and known and known.permit == live.permit else 0
 
     def controllers_without_version(self) -> list[str]:
-        """Controllers without this version, as far as is known."""
+        """Return the configured controllers that are not known to have this version."""
         view = self.ctx.view
         return [
             name
-            for name in self.names
+            for name in self.controller_names
             if (
-                self._shown(name) < self.level
+                self._shown_level(name) < self.target_level
                 if name in view.members
                 else name not in view.versions
             )
         ]
 
     def tick(self) -> None:
-        """One round: announce our version, watch the others', and switch while we lead."""
+        """Publish the own version, check the others' versions, and switch while leading."""
         ctx = self.ctx
         if not ctx.view.loaded or not ctx.permit or ctx.now >= ctx.lease_until:
             return
         self.announce_version()
-        if ctx.now - self.looked_at < LOOK_S:
+        if ctx.now - self.last_check_at < CHECK_INTERVAL_S:
             return
-        self.looked_at = ctx.now
-        self._watch()
+        self.last_check_at = ctx.now
+        self._update_absences()
         if not ctx.leading():
-            self.unmeasured = None
+            self.unchecked_keys = None
             return
-        self._forget_stale()
-        if ctx.view.level < self.level:
-            self._switch()
+        self._remove_stale_versions()
+        if ctx.view.level < self.target_level:
+            self._commit_level()
         else:
-            self._bring_over()
+            self._migrate_records()
+
+    def _update_absences(self) -> None:
+        """Update since when controllers are down, and log a change of those without this version.
 
-    def _watch(self) -> None:
-        """Since when is a controller not there?"""
+        Nobody counts as down while the view of the state service is more than 2 s old.
+        """
         ctx = self.ctx
-        for name in self.names:
+        for name in self.controller_names:
             if name in ctx.view.members or ctx.now - ctx.follow_ok_at > 2.0:
-                self.absent.pop(name, None)
+                self.absent_since.pop(name, None)
             else:
-                self.absent.setdefault(name, ctx.now)
-        waits = self.controllers_without_version()
-        if waits != self.said and ctx.view.level < self.level:
-            self.said = waits
-            log.info("without this version: %s", ", ".join(waits) or "none")
-
-    def _forget_stale(self) -> None:
-        """An older version has come back after a newer one: what it showed holds no more."""
+                self.absent_since.setdefault(name, ctx.now)
+        without_version = self.controllers_without_version()
+        if without_version != self.last_reported and ctx.view.level < self.target_level:
+            self.last_reported = without_version
+            log.info("controllers without this version: %s", ", ".join(without_version) or "none")
+
+    def _remove_stale_versions(self) -> None:
+        """Remove version records of controllers that returned with an older version."""
         ctx = self.ctx
         for name, known in list(ctx.view.versions.items()):
             live = ctx.view.members.get(name)
             if live is None or live.permit == known.permit:
-                self.stale.pop(name, None)
-            elif ctx.now - self.stale.setdefault(name, ctx.now) > STALE_S:
+                self.stale_since.pop(name, None)
+            elif ctx.now - self.stale_since.setdefault(name, ctx.now) > MAX_STALE_VERSION_S:
                 self._remove(records.version_key(name), known)
-                log.error("controller %s runs an older version again", name)
+                log.error("controller %s has returned with an older version", name)
 
     def _remove(self, key: str, known: Struct) -> None:
         def change(current: Struct | None) -> Result:
@@ -150,50 +166,67 @@
 
         self.ctx.queue.propose(Edit(key, change, fence=self.ctx.view.token, tag="remove"))
 
-    def _switch(self) -> None:
+    def _commit_level(self) -> None:
         ctx = self.ctx
-        waits = self.controllers_without_version()
-        level = self.level
-        if any(ctx.now - self.absent.get(name, ctx.now) < GONE_S for name in waits):
+        without_version = self.controllers_without_version()
+        level = self.target_level
+        if any(
+            ctx.now - self.absent_since.get(name, ctx.now) < MAX_ABSENCE_S
+            for name in without_version
+        ):
             return
 
         def change(current: Struct | None) -> Result:
             if isinstance(current, Level) and current.level >= level:
                 raise NotApplicableError("switched")
-            return Level(level, waits)
+            return Level(level, without_version)
 
         edit = Edit(records.LEVEL, change, rank=FIRST, fence=ctx.view.token, tag="switch")
         if ctx.queue.propose(edit):
-            away = f" (given up: {', '.join(waits)})" if waits else ""
-            log.info("every controller has this version%s: forms %d are written", away, level)
+            given_up_note = f" (given up: {', '.join(without_version)})" if without_version else ""
+            log.info(
+                "every controller has this version%s: switching to record formats of level %d",
+                given_up_note,
+                level,
+            )
 
-    def _bring_over(self) -> None:
-        """Bring what is stored into the new forms, a little at a time."""
+    def _migrate_records(self) -> None:
+        """Rewrite stored records in the new formats, a few in each round."""
         ctx = self.ctx
         view = ctx.view
-        types = view.catalog
-        if types is not None and records.TYPES not in view.held:
-            self._rewrite(records.TYPES, types)
+        machine_types = view.catalog
+        if machine_types is not None and records.TYPES not in view.held:
+            self._rewrite(records.TYPES, machine_types)
         elif (old := view.held.get(records.CATALOG)) is not None:
             self._remove(records.CATALOG, old.record)
-        if self.unmeasured is None:
-            self.unmeasured = [k for k in view.held if k.startswith((records.JOBS, records.POOLS))]
-        looks, self.unmeasured = self.unmeasured[:LOOKS], self.unmeasured[LOOKS:]
-        for key in looks:
-            held = view.held.get(key)
-            if held is None or not isinstance(held.record, JobRecord | PoolRecord):
+        if self.unchecked_keys is None:
+            self.unchecked_keys = [
+                k for k in view.held if k.startswith((records.JOBS, records.POOLS))
+            ]
+        checked_keys, self.unchecked_keys = (
+            self.unchecked_keys[:RECORDS_PER_CHECK],
+            self.unchecked_keys[RECORDS_PER_CHECK:],
+        )
+        for key in checked_keys:
+            stored = view.held.get(key)
+            if stored is None or not isinstance(stored.record, JobRecord | PoolRecord):
                 continue
-            value = codec.dump(held.record, view.level)
+            value = codec.dump(stored.record, view.level)
             if key not in view.spread and codec.size(value) > ctx.queue.limits.value:
                 self._rewrite(key, None)
 
-    def _rewrite(self, key: str, first: Struct | None) -> None:
-        """Write a record as it is; how it is laid out is the queue's business."""
+    def _rewrite(self, key: str, if_absent: Struct | None) -> None:
+        """Write a record with unchanged content; the commit queue chooses the format.
+
+        Args:
+            key: The record's key.
+            if_absent: What to write if there is no record; None to leave it absent.
+        """
 
         def change(current: Struct | None) -> Result:
-            if current is None and first is None:
+            if current is None and if_absent is None:
                 raise NotApplicableError("gone")
-            return current or first  # type: ignore[return-value]
+            return current or if_absent  # type: ignore[return-value]
 
         edit = Edit(key, change, rank=LATER, fence=self.ctx.view.token, tag="rewrite")
         self.ctx.queue.propose(edit)
