--- a/coursefold/coordination/core.py
+++ b/coursefold/coordination/core.py
@@ -16,7 +16,7 @@
 from coursefold.coordination.effects import Answer, Effect, Tell
 from coursefold.coordination.election import Election
 from coursefold.coordination.extension import Extension
-from coursefold.coordination.fleet import Fleet
+from coursefold.coordination.fleet import FleetManager
 from coursefold.coordination.forward import ProposalForwarder
 from coursefold.coordination.leader import Leader
 from coursefold.coordination.owner import Owner
@@ -64,9 +64,9 @@
         self.forwarding = ProposalForwarder(self.ctx, self.tellers)
         self.owner = Owner(self.ctx, self.election, self.forwarding.propose)
         self.leader = Leader(self.ctx, self.owner)
-        self.fleet = Fleet(self.ctx, self.leader)
+        self.fleet = FleetManager(self.ctx, self.leader)
         self.extensions: list[Extension] = []
-        self.requests = RequestHandler(self.ctx, lambda: self.leader.reasons)
+        self.requests = RequestHandler(self.ctx, lambda: self.leader.waiting_reasons)
         self.was_leading = False
 
     def at(self, now: Moment, wall: WallTime) -> None:
@@ -145,7 +145,9 @@
     def frame(self, member: str) -> bytes:
         """The next frame for a sibling; empty if there is nothing to say."""
         return self.tellers[member].build_frame(
-            set(self.leader.wanted), self.election.unreachable_for_workers(), self.leader.reasons
+            set(self.leader.requested_machines),
+            self.election.unreachable_for_workers(),
+            self.leader.waiting_reasons,
         )
 
     def peer(self, frame: bytes) -> bool:
@@ -161,7 +163,7 @@
 
     def cloud(self, call: int, status: int, body: bytes) -> None:
         """What the cloud answered to a request; status 0 is no answer."""
-        self.fleet.outcome(call, status, body)
+        self.fleet.handle_response(call, status, body)
 
     # Workers
 
