--- a/coursefold/coordination/requests.py
+++ b/coursefold/coordination/requests.py
@@ -5,37 +5,26 @@
 is final.
 """
 
-
-
 import logging
-import msgspec
 from collections.abc import Callable
+from enum import StrEnum
+from itertools import islice
+from typing import Any, NamedTuple
+
+import msgspec
+
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
-from coursefold.coordination.effects import Answer
-from coursefold.coordination.effects import Read
-from coursefold.coordination.effects import Vouch
+from coursefold.coordination.effects import Answer, Read, Vouch
 from coursefold.coordination.placement import fits_machine_type
 from coursefold.coordination.quota import fits_team_limit
 from coursefold.coordination.whereabouts import away_reason
-from coursefold.protocol.ids import JobId
-from coursefold.protocol.ids import is_job_id
-from coursefold.protocol.wire import Job
-from coursefold.protocol.wire import MalformedError
-from coursefold.protocol.wire import decode_job
+from coursefold.protocol.ids import JobId, is_job_id
+from coursefold.protocol.wire import Job, MalformedError, decode_job
 from coursefold.storage import records
 from coursefold.storage.cell_records import AwayStage
-from coursefold.storage.edits import Edit
-from coursefold.storage.edits import FIRST
-from coursefold.storage.records import Ending
-from coursefold.storage.records import JobRecord
-from coursefold.storage.records import job_key
-from enum import StrEnum
-from itertools import islice
-from typing import Any
-from typing import NamedTuple
-
-
+from coursefold.storage.edits import FIRST, Edit
+from coursefold.storage.records import Ending, JobRecord, job_key
 
 log = logging.getLogger(__name__)
 
@@ -217,7 +206,9 @@
         catalog = self.view.catalog
         if spec.team not in teams:
             return f"unknown team {spec.team!r}"
-        matching_types = [t for t in catalog.builds if fits_machine_type(spec, t)] if catalog else []
+        matching_types = (
+            [t for t in catalog.builds if fits_machine_type(spec, t)] if catalog else []
+        )
         if not matching_types:
             return "a task fits no allowed machine type"
         if not fits_team_limit(teams[spec.team], spec, 1 if spec.shape == "array" else spec.tasks):
