--- a/coursefold/coordination/owner_placement.py
+++ b/coursefold/coordination/owner_placement.py
@@ -116,4 +116,4 @@
                 log.debug("place %s on %s: %s", name, where, why)
 
         step = jobs.TaskTransition("place", tuple(tasks), ctx.own_name)
-        self.steps.write(name, step, "", SOON, settled)
+        self.steps.propose_transition(name, step, "", SOON, settled)
