--- a/coursefold/coordination/gangs.py
+++ b/coursefold/coordination/gangs.py
@@ -1,4 +1,4 @@
-"""Gangs: all places at once, or none."""
+"""Placement of gangs: machines for all tasks at once, or for none."""
 
 from collections.abc import Iterable
 from math import inf
@@ -6,151 +6,162 @@
 from coursefold.coordination.placement import (
     EMPTY_PRICE_INDEX,
     MachineCapacity,
+    PlacementCost,
     PriceIndex,
-    Weigher,
+    get_zone_limit,
     may_run_on,
-    zone_limit,
 )
 from coursefold.protocol.wire import Job
 
 
 def find_gang_placement(
     spec: Job,
-    rooms: list[MachineCapacity],
-    market: PriceIndex = EMPTY_PRICE_INDEX,
-    slack: float = inf,
+    machines: list[MachineCapacity],
+    price_index: PriceIndex = EMPTY_PRICE_INDEX,
+    slack_s: float = inf,
 ) -> list[MachineCapacity] | None:
-    """Rooms for all tasks, one for each (a room may serve several), or None.
+    """Return one machine for each task (a machine may occur several times), or None.
 
-    With `Together` each zone is tried; the plan whose worst place is best wins, for
-    a gang starts with its last task and runs as fast as its slowest machine.
+    Nothing is reserved. With `Together` each zone is tried, and the plan whose most expensive
+    machine costs least wins: a gang starts with its last task and runs as fast as its slowest
+    machine. `slack_s` is how long the start may take for the job's next objective.
     """
     usable = [
-        r
-        for r in rooms
-        if r.fits_task(spec)
-        and not r.is_unschedulable
-        and may_run_on(spec, r)
-        and not (r.has_protected_accelerators and market.blocks_accelerators(spec, r))
+        machine
+        for machine in machines
+        if machine.fits_task(spec)
+        and not machine.is_unschedulable
+        and may_run_on(spec, machine)
+        and not (
+            machine.has_protected_accelerators and price_index.blocks_accelerators(spec, machine)
+        )
     ]
-    zones = sorted({r.zone for r in usable}) if spec.together else [""]
-    weigh = Weigher(spec, market, slack)
-    costs = {r.id: weigh(r) for r in usable}
-    ranked = sorted(usable, key=lambda r: costs[r.id])
+    zones = sorted({machine.zone for machine in usable}) if spec.together else [""]
+    compute_cost = PlacementCost(spec, price_index, slack_s)
+    costs = {machine.id: compute_cost(machine) for machine in usable}
+    by_cost = sorted(usable, key=lambda machine: costs[machine.id])
     best: tuple[float, list[MachineCapacity]] | None = None
     for zone in zones:
-        plan = _fill([r for r in ranked if not zone or r.zone == zone], spec)
+        plan = _fill_in_order(
+            [machine for machine in by_cost if not zone or machine.zone == zone], spec
+        )
         if plan is not None:
-            worst = max(costs[r.id][0] for r in plan)
-            if best is None or worst < best[0]:
-                best = (worst, plan)
+            highest_cost = max(costs[machine.id][0] for machine in plan)
+            if best is None or highest_cost < best[0]:
+                best = (highest_cost, plan)
     return best[1] if best else None
 
 
-def _fill(ranked: list[MachineCapacity], spec: Job) -> list[MachineCapacity] | None:
-    limit = zone_limit(spec)
-    by_zone: dict[str, int] = {}
+def _fill_in_order(machines: list[MachineCapacity], spec: Job) -> list[MachineCapacity] | None:
+    """Return machines for all tasks, each filled before the next, or None if they do not fit."""
+    zone_limit = get_zone_limit(spec)
+    tasks_by_zone: dict[str, int] = {}
     plan: list[MachineCapacity] = []
-    before: dict[str, dict[str, float]] = {}
-    for room in ranked:
-        while len(plan) < spec.tasks and room.fits_task(spec):
-            if limit is not None and by_zone.get(room.zone, 0) >= limit:
+    images_before: dict[str, dict[str, float]] = {}
+    for machine in machines:
+        while len(plan) < spec.tasks and machine.fits_task(spec):
+            if zone_limit is not None and tasks_by_zone.get(machine.zone, 0) >= zone_limit:
                 break
-            before.setdefault(room.id, room.task_images_gb)
-            room.reserve(spec)
-            plan.append(room)
-            by_zone[room.zone] = by_zone.get(room.zone, 0) + 1
+            images_before.setdefault(machine.id, machine.task_images_gb)
+            machine.reserve(spec)
+            plan.append(machine)
+            tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + 1
         if len(plan) == spec.tasks:
             break
-    for room in plan:
-        room.release(spec)
-        room.task_images_gb = before[room.id]
+    for machine in plan:
+        machine.release(spec)
+        machine.task_images_gb = images_before[machine.id]
     return plan if len(plan) == spec.tasks else None
 
 
 class GangCandidates:
-    """The machines of one round, as gangs look at them.
+    """The machines of one round, with cached answers for the gangs that wait.
 
-    A gang that does not fit is looked at in every round. Walking and sorting the whole
-    fleet for each one cost more than all else at 900 machines and some forty waiting
-    gangs, so what several gangs have in common is found once.
+    A gang that does not fit is examined in every round. At 900 machines and some forty
+    waiting gangs, filtering and sorting the whole fleet for each gang costs more than all
+    other work of the round, so results that several gangs share are computed once. They stay
+    valid because machines only become fuller during a round.
     """
 
-    def __init__(self, rooms: Iterable[MachineCapacity]) -> None:
-        self.machines = list(rooms)
+    def __init__(self, machines: Iterable[MachineCapacity]) -> None:
+        self.machines = list(machines)
         self._usable: dict[tuple[object, ...], list[MachineCapacity]] = {}
-        self._holding: dict[tuple[object, ...], list[MachineCapacity]] = {}
+        self._fitting: dict[tuple[object, ...], list[MachineCapacity]] = {}
         self._emptiest: dict[tuple[object, ...], dict[str, list[MachineCapacity]]] = {}
-        self._places: dict[tuple[object, ...], int] = {}
+        self._max_tasks: dict[tuple[object, ...], int] = {}
 
     @staticmethod
-    def _kind(spec: Job) -> tuple[object, ...]:
+    def _make_key(spec: Job) -> tuple[object, ...]:
         return (None if spec.builds is None else tuple(spec.builds), spec.zone, spec.spot)
 
     def find_usable(self, spec: Job) -> list[MachineCapacity]:
-        """Rooms that the job allows and that are not kept for another."""
-        kind = self._kind(spec)
-        found = self._usable.get(kind)
+        """Return the machines that the job allows and that take new tasks."""
+        key = self._make_key(spec)
+        found = self._usable.get(key)
         if found is None:
-            found = [r for r in self.machines if may_run_on(spec, r)]
-        found = self._usable[kind] = [r for r in found if not r.is_unschedulable]
+            found = [machine for machine in self.machines if may_run_on(spec, machine)]
+        found = self._usable[key] = [machine for machine in found if not machine.is_unschedulable]
         return found
 
     def find_fitting(self, spec: Job) -> list[MachineCapacity]:
-        """Usable rooms with place for one task; in a round rooms only become fuller."""
-        key = (*self._kind(spec), spec.cpus, spec.gpus, spec.memory)
-        found = self._holding.get(key)
+        """Return the usable machines on which one task of the job fits."""
+        key = (*self._make_key(spec), spec.cpus, spec.gpus, spec.memory)
+        found = self._fitting.get(key)
         if found is None:
             found = self.find_usable(spec)
-        found = self._holding[key] = [
-            r for r in found if r.fits_task(spec) and not r.is_unschedulable
+        found = self._fitting[key] = [
+            machine for machine in found if machine.fits_task(spec) and not machine.is_unschedulable
         ]
         return found
 
     def may_fit_eventually(self, spec: Job) -> bool:
-        """Would the gang fit, alone, if all had ended that ends by itself?
+        """Return whether the gang would fit beside the replicas alone.
 
-        Seen in the tests' own world: replicas held a part of each machine, the cloud had no
-        more, and machines were gathered for a gang that could never have them, while
-        arrays waited for minutes beside the other parts.
+        Machines must not be earmarked for a gang that can never have them: where replicas
+        hold a part of each machine and the cloud has no more, arrays would wait for minutes
+        beside the free parts.
         """
-        key = (*self._kind(spec), spec.together, spec.cpus, spec.gpus, spec.memory)
-        most = self._places.get(key)
-        if most is None:
-            by_zone: dict[str, int] = {}
-            for room in self.machines:
-                if may_run_on(spec, room) and not (
-                    room.is_unschedulable and not room.earmarked_for_gang
+        key = (*self._make_key(spec), spec.together, spec.cpus, spec.gpus, spec.memory)
+        max_tasks = self._max_tasks.get(key)
+        if max_tasks is None:
+            counts: dict[str, int] = {}
+            for machine in self.machines:
+                if may_run_on(spec, machine) and not (
+                    machine.is_unschedulable and not machine.earmarked_for_gang
                 ):
-                    zone = room.zone if spec.together else ""
-                    by_zone[zone] = by_zone.get(zone, 0) + room.count_tasks_beside_replicas(spec)
-            most = self._places[key] = max(by_zone.values(), default=0)
-        return most >= spec.tasks
+                    zone = machine.zone if spec.together else ""
+                    counts[zone] = counts.get(zone, 0) + machine.count_tasks_beside_replicas(spec)
+            max_tasks = self._max_tasks[key] = max(counts.values(), default=0)
+        return max_tasks >= spec.tasks
 
     def find_to_earmark(self, spec: Job) -> list[MachineCapacity]:
-        """Rooms to keep free for a gang that does not fit yet: the emptiest of one zone.
+        """Return machines to keep free for a gang that does not fit yet.
 
-        The order is that of the round's first look: what a task has taken since changes
-        it by little, and only what lesser work is kept off depends on it.
+        They are the emptiest, of one zone with `Together`. The order is that of the first
+        call in the round: tasks placed since change it little, and it only decides which
+        machines less important work is kept off.
         """
-        kind = (*self._kind(spec), spec.together)
-        by_zone = self._emptiest.get(kind)
+        key = (*self._make_key(spec), spec.together)
+        by_zone = self._emptiest.get(key)
         if by_zone is None:
-            by_zone = self._emptiest[kind] = {}
-            for room in sorted(self.find_usable(spec), key=lambda r: (r.largest_free_share, r.id)):
-                by_zone.setdefault(room.zone if spec.together else "", []).append(room)
+            by_zone = self._emptiest[key] = {}
+            for machine in sorted(
+                self.find_usable(spec),
+                key=lambda candidate: (candidate.largest_free_share, candidate.id),
+            ):
+                by_zone.setdefault(machine.zone if spec.together else "", []).append(machine)
         best: list[MachineCapacity] = []
-        most = -1.0
-        for _, rooms in sorted(by_zone.items()):
-            while rooms and rooms[-1].is_unschedulable:
-                rooms.pop()
+        most_free = -1.0
+        for _, machines in sorted(by_zone.items()):
+            while machines and machines[-1].is_unschedulable:
+                machines.pop()
             plan: list[MachineCapacity] = []
-            for room in reversed(rooms):
+            for machine in reversed(machines):
                 if len(plan) == spec.tasks:
                     break
-                if not room.is_unschedulable:
-                    plan.append(room)
-            worth = sum(r.largest_free_share for r in plan)
-            if worth > most:
-                best, most = plan, worth
+                if not machine.is_unschedulable:
+                    plan.append(machine)
+            free = sum(machine.largest_free_share for machine in plan)
+            if free > most_free:
+                best, most_free = plan, free
         return best
--- a/coursefold/coordination/leader.py
+++ b/coursefold/coordination/leader.py
@@ -24,7 +24,12 @@
     fits_machine_type,
 )
 from coursefold.coordination.quota import QuotaTracker
-from coursefold.coordination.waiting import KEEP_S, PAUSE_S, QueuedJob, WaitingQueue
+from coursefold.coordination.waiting import (
+    RESERVATION_PAUSE_S,
+    RESERVATION_S,
+    QueuedJob,
+    WaitingQueue,
+)
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 from coursefold.storage.edits import LATER, Edit
@@ -122,7 +127,7 @@
         for machine in [m for m, until in self.requested_machines.items() if until < ctx.now]:
             del self.requested_machines[machine]
         for wait in queue:
-            if wait.sort_key.late and wait.name in self.waiting_reasons:
+            if wait.sort_key.is_late and wait.name in self.waiting_reasons:
                 self.waiting_reasons[wait.name] += "; it is late for its aims"
         self._tell_reasons()
 
@@ -342,7 +347,7 @@
         job = wait.job
         if not (refused or job.spec.apart or job.spec.together):
             self.failed_searches.add(job.spec)
-        if wait.age_s <= KEEP_S or not self._pauses():
+        if wait.age_s <= RESERVATION_S or not self._pauses():
             self.jobs_without_capacity.add(wait.name)
         self.waiting_reasons[wait.name] = self._why_no_room(job)
         self.preemption.consider(
@@ -490,13 +495,13 @@
         Not where it can not come to pass, and one that has waited for very long pauses
         now and then: nobody is to wait for minutes beside a free machine.
         """
-        if wait.age_s > LONG_WAIT_S + KEEP_S and self._pauses():
+        if wait.age_s > LONG_WAIT_S + RESERVATION_S and self._pauses():
             return False
         return floor.may_fit_eventually(wait.job.spec) or self._may_grow(wait.job.spec)
 
     def _pauses(self) -> bool:
         """The moments in which old reservations hold nobody back."""
-        return self.ctx.wall % (KEEP_S + PAUSE_S) >= KEEP_S
+        return self.ctx.wall % (RESERVATION_S + RESERVATION_PAUSE_S) >= RESERVATION_S
 
     def _may_grow(self, spec: Job) -> bool:
         """Are there machines that the job may use still to come?"""
--- a/coursefold/coordination/owner_placement.py
+++ b/coursefold/coordination/owner_placement.py
@@ -6,7 +6,7 @@
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
 from coursefold.coordination.placement import (
-    SLACK,
+    RESOURCE_TOLERANCE,
     FailedSearches,
     MachineCapacity,
     PlacementSearch,
@@ -96,7 +96,7 @@
         return (
             not (room.reserved_for_gang or room.is_unschedulable)
             and (not entry.zone or entry.zone == room.zone)
-            and min(room.cpus, room.gpus, room.memory_gb) >= -SLACK
+            and min(room.cpus, room.gpus, room.memory_gb) >= -RESOURCE_TOLERANCE
         )
 
     def propose_placement(self, name: JobId, job: JobRecord, tasks: list[jobs.Task]) -> None:
--- a/coursefold/coordination/placement.py
+++ b/coursefold/coordination/placement.py
@@ -1,4 +1,7 @@
-"""Where a task may run, and which of those places is best."""
+"""Which machines may run a task, and which of them costs least.
+
+Costs are in seconds, so that waiting for an image, rent and penalties can be added up.
+"""
 
 from collections.abc import Collection, Iterable
 from heapq import heapify, heappop, heapreplace
@@ -8,16 +11,17 @@
 from coursefold.protocol.wire import Job, MachineType
 from coursefold.storage.view import EMPTY, Load
 
-SLACK = 1e-6
-WASTEFUL = 40.0  # the same for an ordinary machine of a type that others need
-UNUSUAL = 8.0  # and of a type that they would rather not use
-TOO_LATE = 20.0
-FENCED = 60.0  # seconds of waiting that a machine's free accelerators are worth to small work
-ALONE = 15.0  # seconds of fetching that it is worth not to pin another empty machine
+RESOURCE_TOLERANCE = 1e-6  # CPUs, accelerators or GB; absorbs rounding errors of sums
+# Penalties for a job that may use spot machines on an ordinary machine:
+NEEDED_ORDINARY_PENALTY_S = 40.0  # of a type that is the cheapest for a job without spot
+OTHER_ORDINARY_PENALTY_S = 8.0  # of any other type
+LATE_FETCH_PENALTY_S = 20.0  # the image would be complete only after the latest start
+BLOCKED_ACCELERATORS_PENALTY_S = 60.0  # a task without accelerators waits this long instead
+EMPTY_MACHINE_PENALTY_S = 15.0  # fetch time accepted to keep an empty machine empty
 
 
 class MachineOffering(NamedTuple):
-    """Where machines can be had: a type, a zone, spot or ordinary."""
+    """What the cloud rents: a machine type in a zone, as spot or ordinary machines."""
 
     machine_type: str
     zone: str
@@ -25,7 +29,30 @@
 
 
 class MachineCapacity:
-    """A machine as a place for tasks, with what is still free on it."""
+    """The free resources of one machine in a round of decisions.
+
+    Attributes:
+        cached_images: Names of the images on the machine.
+        cpus: Free CPUs.
+        earmarked_for_gang: In this round, kept free for a gang that does not fit yet.
+        gpus: Free accelerators.
+        has_protected_accelerators: Tasks without accelerators are placed here only where
+            they leave room for those that use them, since such tasks wait.
+        id: Name of the machine.
+        idle_since: When its last task left, on the monotonic clock.
+        is_unschedulable: Takes no new tasks: it drains, or its room has been planned for a
+            gang in this round.
+        memory_gb: Free memory.
+        owner: The controller that commands the machine; empty while it boots.
+        replica_usage: CPUs, accelerators and GB of tasks that end only on request.
+        reserved_for_gang: Its owner keeps it free for a gang or a return, on the leader's request.
+        session: The worker's session, which changes when it restarts.
+        spot: Whether the cloud may take the machine back.
+        task_count: Tasks that have a place here.
+        task_images_gb: Size of the image of each task here, by image name.
+        type_info: The machine type.
+        zone: Zone of the machine.
+    """
 
     __slots__ = (
         "cached_images",
@@ -51,49 +78,57 @@
     def __init__(
         self,
         id: str,
-        kind: MachineType,
+        type_info: MachineType,
         zone: str,
         spot: bool,
         owner: str,
         session: int,
         load: Load = EMPTY,
-        images: Collection[str] = frozenset(),
+        cached_images: Collection[str] = frozenset(),
     ) -> None:
-        self.id, self.type_info, self.zone, self.spot = id, kind, zone, spot
+        self.id, self.type_info, self.zone, self.spot = id, type_info, zone, spot
         self.owner, self.session = owner, session
-        self.cpus = kind.cpus - load.cpus
-        self.gpus = kind.gpus - load.gpus
-        self.memory_gb = kind.memory - load.memory
-        self.cached_images = images
-        self.task_images_gb = load.images  # shared until something is taken
+        self.cpus = type_info.cpus - load.cpus
+        self.gpus = type_info.gpus - load.gpus
+        self.memory_gb = type_info.memory - load.memory
+        self.cached_images = cached_images
+        self.task_images_gb = load.images  # shared with the load; copied on the first change
         self.task_count = len(load.specs)
         self.replica_usage = load.lasting
         self.reserved_for_gang = False
         self.is_unschedulable = False
-        self.has_protected_accelerators = False  # tasks with accelerators wait for it
-        self.earmarked_for_gang = False  # and it is gathered for a gang of them, in this round
+        self.has_protected_accelerators = False
+        self.earmarked_for_gang = False
         self.idle_since = 0.0
 
     def fits_task(self, spec: Job) -> bool:
-        """Is there room for a task of the job?"""
+        """Return whether the free resources suffice for a task of the job."""
         return (
-            spec.cpus <= self.cpus + SLACK
-            and spec.gpus <= self.gpus + SLACK
-            and spec.memory <= self.memory_gb + SLACK
+            spec.cpus <= self.cpus + RESOURCE_TOLERANCE
+            and spec.gpus <= self.gpus + RESOURCE_TOLERANCE
+            and spec.memory <= self.memory_gb + RESOURCE_TOLERANCE
         )
 
     def count_tasks_beside_replicas(self, spec: Job) -> int:
-        """Tasks of the job that would fit if all had ended that ends by itself."""
-        kind, (cpus, gpus, memory) = self.type_info, self.replica_usage
+        """Return how many tasks of the job would fit beside the replicas alone.
+
+        All other tasks end by themselves; replicas end only on request.
+        """
+        type_info, (cpus, gpus, memory_gb) = self.type_info, self.replica_usage
         amounts = (
-            (kind.cpus - cpus, spec.cpus),
-            (kind.gpus - gpus, spec.gpus),
-            (kind.memory - memory, spec.memory),
+            (type_info.cpus - cpus, spec.cpus),
+            (type_info.gpus - gpus, spec.gpus),
+            (type_info.memory - memory_gb, spec.memory),
+        )
+        return int(
+            min(
+                ((free + RESOURCE_TOLERANCE) / needed for free, needed in amounts if needed),
+                default=0.0,
+            )
         )
-        return int(min(((free + SLACK) / one for free, one in amounts if one), default=0.0))
 
     def reserve(self, spec: Job) -> None:
-        """Count a task as placed here."""
+        """Subtract what a task of the job needs."""
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
         self.memory_gb -= spec.memory
@@ -102,7 +137,7 @@
             self.task_images_gb = {**self.task_images_gb, spec.image: spec.image_gb}
 
     def release(self, spec: Job) -> None:
-        """Count a task as gone from here."""
+        """Add what a task of the job had reserved; its image stays listed."""
         self.cpus += spec.cpus
         self.gpus += spec.gpus
         self.memory_gb += spec.memory
@@ -110,325 +145,367 @@
 
     @property
     def largest_free_share(self) -> float:
-        """The largest free share of any resource."""
-        kind = self.type_info
-        most = self.cpus / kind.cpus if kind.cpus else 0.0
-        if kind.gpus and self.gpus / kind.gpus > most:
-            most = self.gpus / kind.gpus
-        if kind.memory and self.memory_gb / kind.memory > most:
-            most = self.memory_gb / kind.memory
-        return most
-
-
-def fits_machine_type(spec: Job, kind: MachineType) -> bool:
-    """True if an empty machine of this type holds a task and the job allows it."""
-    if spec.builds is not None and kind.name not in spec.builds:
+        """The largest free share of any resource, from 0 to 1."""
+        type_info = self.type_info
+        share = self.cpus / type_info.cpus if type_info.cpus else 0.0
+        if type_info.gpus and self.gpus / type_info.gpus > share:
+            share = self.gpus / type_info.gpus
+        if type_info.memory and self.memory_gb / type_info.memory > share:
+            share = self.memory_gb / type_info.memory
+        return share
+
+
+def fits_machine_type(spec: Job, type_info: MachineType) -> bool:
+    """Return whether the job allows this type and an empty machine of it fits one task."""
+    if spec.builds is not None and type_info.name not in spec.builds:
         return False
-    if spec.zone is not None and spec.zone not in kind.zones:
+    if spec.zone is not None and spec.zone not in type_info.zones:
         return False
     return (
-        spec.cpus <= kind.cpus + SLACK
-        and spec.gpus <= kind.gpus + SLACK
-        and spec.memory <= kind.memory + SLACK
+        spec.cpus <= type_info.cpus + RESOURCE_TOLERANCE
+        and spec.gpus <= type_info.gpus + RESOURCE_TOLERANCE
+        and spec.memory <= type_info.memory + RESOURCE_TOLERANCE
     )
 
 
-def may_run_on(spec: Job, room: MachineCapacity) -> bool:
-    """What the job says of types, zones and spot machines; workers do not check it."""
+def may_run_on(spec: Job, machine: MachineCapacity) -> bool:
+    """Return whether the job allows the machine's type, zone and spot.
+
+    Workers do not check it.
+    """
     return (
-        (spec.builds is None or room.type_info.name in spec.builds)
-        and (spec.zone is None or spec.zone == room.zone)
-        and (spec.spot or not room.spot)
+        (spec.builds is None or machine.type_info.name in spec.builds)
+        and (spec.zone is None or spec.zone == machine.zone)
+        and (spec.spot or not machine.spot)
     )
 
 
-def compute_machine_share(spec: Job, kind: MachineType) -> float:
-    """The part of a machine that a task takes: one of as many as fit there."""
+def compute_machine_share(spec: Job, type_info: MachineType) -> float:
+    """Return the share of a machine that a task takes: 1/n where n of them fit."""
     largest = max(
-        spec.cpus / kind.cpus if kind.cpus else 0.0,
-        spec.gpus / kind.gpus if kind.gpus else 0.0,
-        spec.memory / kind.memory if kind.memory else 0.0,
+        spec.cpus / type_info.cpus if type_info.cpus else 0.0,
+        spec.gpus / type_info.gpus if type_info.gpus else 0.0,
+        spec.memory / type_info.memory if type_info.memory else 0.0,
         1e-3,
     )
-    return 1.0 / max(1, int(1.0 / largest + SLACK))
+    return 1.0 / max(1, int(1.0 / largest + RESOURCE_TOLERANCE))
 
 
-def places(spec: Job, room: MachineCapacity, beside: Job | None = None) -> int:
-    """How many tasks of a job fit into what is free, after one of another."""
-    cpus, gpus, memory = room.cpus, room.gpus, room.memory_gb
+def count_fitting_tasks(spec: Job, machine: MachineCapacity, beside: Job | None = None) -> int:
+    """Return how many tasks of a job fit into what is free, after one task of `beside`."""
+    cpus, gpus, memory_gb = machine.cpus, machine.gpus, machine.memory_gb
     if beside is not None:
-        cpus, gpus, memory = cpus - beside.cpus, gpus - beside.gpus, memory - beside.memory
+        cpus, gpus, memory_gb = cpus - beside.cpus, gpus - beside.gpus, memory_gb - beside.memory
     ratios = [
-        free / taken
-        for free, taken in ((cpus, spec.cpus), (gpus, spec.gpus), (memory, spec.memory))
-        if taken
+        free / needed
+        for free, needed in ((cpus, spec.cpus), (gpus, spec.gpus), (memory_gb, spec.memory))
+        if needed
     ]
-    return max(0, int(min(ratios, default=0.0) + SLACK))
+    return max(0, int(min(ratios, default=0.0) + RESOURCE_TOLERANCE))
 
 
 class PriceIndex:
-    """Which machine types are worth more to other classes than to this one.
-
-    A task that fits one type well and another badly loses more by being elsewhere
-    than one that fits both alike. Seen at a fleet rented to the last machine: gangs
-    that fit both types filled the large machines, and array tasks, which take a small
-    machine each, waited for minutes.
+    """The cheapest machine type of each class of jobs, and what the others would cost it.
+
+    A task that fits one type well and another badly loses more by being placed elsewhere
+    than one that fits both alike. Without this, in a fully rented fleet, gangs that fit both
+    types fill the large machines, and array tasks, which take a whole small machine each,
+    wait for minutes.
+
+    Attributes:
+        accelerator_jobs: The jobs that use accelerators.
+        cheapest_types: The cheapest type for each class.
+        needed_ordinary_types: Types that are the cheapest for a job without spot.
+        savings: By type, then class: what an hour of a whole machine saves against the
+            class's next best type.
     """
 
-    def __init__(self, kinds: Iterable[MachineType] = (), specs: Iterable[Job] = ()) -> None:
+    def __init__(self, type_infos: Iterable[MachineType] = (), specs: Iterable[Job] = ()) -> None:
+        """Takes the machine types on offer and one job of each class."""
         self.savings: dict[str, dict[str, float]] = {}
         self.needed_ordinary_types: set[str] = set()
-        self.cheapest: dict[str, str] = {}
+        self.cheapest_types: dict[str, str] = {}
         specs = list(specs)
         self.accelerator_jobs = [spec for spec in specs if spec.gpus]
-        self._fences: dict[tuple[object, ...], bool] = {}
-        kinds = list(kinds)
+        self._blocking: dict[tuple[object, ...], bool] = {}
+        type_infos = list(type_infos)
         for spec in specs:
             prices = {
-                k.name: k.price * compute_machine_share(spec, k)
-                for k in kinds
-                if fits_machine_type(spec, k)
+                t.name: t.price * compute_machine_share(spec, t)
+                for t in type_infos
+                if fits_machine_type(spec, t)
             }
             if not prices:
                 continue
-            cheapest = self.cheapest[spec.lane] = min(prices, key=prices.__getitem__)
+            cheapest = self.cheapest_types[spec.lane] = min(prices, key=prices.__getitem__)
             if not spec.spot:
                 self.needed_ordinary_types.add(cheapest)
             others = [price for name, price in prices.items() if name != cheapest]
             if others:
-                kind = next(k for k in kinds if k.name == cheapest)
-                saving = (min(others) - prices[cheapest]) / compute_machine_share(spec, kind)
+                type_info = next(t for t in type_infos if t.name == cheapest)
+                saving = (min(others) - prices[cheapest]) / compute_machine_share(spec, type_info)
                 self.savings.setdefault(cheapest, {})[spec.lane] = saving
 
     def find_preferred_type(self, spec: Job) -> str | None:
-        """The type that a class belongs on, if it would displace others elsewhere."""
-        cheapest = self.cheapest.get(spec.lane)
-        return cheapest if any(kind != cheapest for kind in self.savings) else None
+        """Return the class's cheapest type if other types are preferred by other classes."""
+        cheapest = self.cheapest_types.get(spec.lane)
+        return cheapest if any(name != cheapest for name in self.savings) else None
 
-    def blocks_accelerators(self, spec: Job, room: MachineCapacity) -> bool:
-        """Would a task without accelerators take from a room what those with them could use?
+    def blocks_accelerators(self, spec: Job, machine: MachineCapacity) -> bool:
+        """Return whether a task of the job would take room that accelerator jobs could use.
 
-        It does if fewer tasks of some class would fit beside it than before. Rooms are alike
-        by the hundred, so what was found for one holds for the others.
+        That is so if fewer tasks of some such job would fit beside it than without it.
+        Machines of the same type, zone and free resources get the same answer from a cache.
         """
-        if room.gpus <= SLACK or not self.accelerator_jobs:
+        if machine.gpus <= RESOURCE_TOLERANCE or not self.accelerator_jobs:
             return False
-        free = (round(room.cpus, 3), round(room.gpus, 3), round(room.memory_gb, 3))
-        key = (spec.cpus, spec.memory, room.type_info.name, room.spot, room.zone, *free)
-        found = self._fences.get(key)
-        if found is None:
-            found = self._fences[key] = any(
-                places(other, room) > places(other, room, spec)
+        free = (round(machine.cpus, 3), round(machine.gpus, 3), round(machine.memory_gb, 3))
+        key = (
+            spec.cpus,
+            spec.memory,
+            machine.type_info.name,
+            machine.spot,
+            machine.zone,
+            *free,
+        )
+        blocks = self._blocking.get(key)
+        if blocks is None:
+            blocks = self._blocking[key] = any(
+                count_fitting_tasks(other, machine) > count_fitting_tasks(other, machine, spec)
                 for other in self.accelerator_jobs
-                if may_run_on(other, room)
+                if may_run_on(other, machine)
             )
-        return found
+        return blocks
 
-    def estimate_displacement_cost(self, spec: Job, kind: MachineType) -> float:
-        """What a task there costs others, per hour."""
-        worth = self.savings.get(kind.name)
-        if not worth:
+    def estimate_displacement_cost(self, spec: Job, type_info: MachineType) -> float:
+        """Return what a task on this type costs other classes, in price per hour."""
+        savings = self.savings.get(type_info.name)
+        if not savings:
             return 0.0
-        most = max((s for lane, s in worth.items() if lane != spec.lane), default=0.0)
-        return compute_machine_share(spec, kind) * most
+        largest = max(
+            (s for job_class, s in savings.items() if job_class != spec.lane), default=0.0
+        )
+        return compute_machine_share(spec, type_info) * largest
 
 
 EMPTY_PRICE_INDEX = PriceIndex()
 
 
-def fetch_time(spec: Job, room: MachineCapacity) -> float:
-    """Seconds until the image is there; images fetched together share the rate.
+def estimate_fetch_s(spec: Job, machine: MachineCapacity) -> float:
+    """Return the seconds until the image is on the machine; 0 if it is there.
 
-    What this fetch takes from the others is counted too: they belong to tasks that wait.
+    Images that are fetched at the same time share the rate. The delay that this fetch adds
+    to the others is counted too, since they belong to tasks that wait.
     """
-    if spec.image in room.cached_images or not room.type_info.fetch:
+    if spec.image in machine.cached_images or not machine.type_info.fetch:
         return 0.0
-    others = 0.0
-    for image, gb in room.task_images_gb.items():
-        if image != spec.image and image not in room.cached_images:
-            others += gb
-    shared = spec.image_gb if others else 0.0
-    return (spec.image_gb + others + shared) / room.type_info.fetch
-
-
-class Weigher:
-    """What a task costs in each room. Less is better: early start, cheap room, tight fit.
-
-    `slack` is how long the start may take for the job's next aim: a place whose image
-    comes later than that costs more than the seconds it takes.
-
-    Work that may run on spot machines leaves ordinary ones to work that may not;
-    a task leaves a machine alone of which it would waste much for its price; a
-    replica, which stays, leaves large machines to what comes and goes, and joins
-    others rather than take an empty machine from a gang that needs whole ones; a
-    tight fit empties other machines, which can then be returned.
-
-    All but the fetch is the same for machines of one type, and looked at once.
-
-    A task without accelerators takes what those with them leave over: where it keeps none
-    of them out it costs nothing but the fetch. Where it does is the last resort.
+    others_gb = 0.0
+    for image, size_gb in machine.task_images_gb.items():
+        if image != spec.image and image not in machine.cached_images:
+            others_gb += size_gb
+    added_gb = spec.image_gb if others_gb else 0.0
+    return (spec.image_gb + others_gb + added_gb) / machine.type_info.fetch
+
+
+class PlacementCost:
+    """The cost of one of the job's tasks on a machine: earlier, cheaper and tighter is better.
+
+    `slack_s` is how long the start may take for the job's next objective; an image that is
+    complete later adds a penalty to the seconds that it takes.
+
+    - A job that may use spot machines leaves ordinary ones to those that may not.
+    - A task avoids a machine of which it would waste much for its price.
+    - A replica stays for long, so it leaves large machines to tasks that come and go, and
+      prefers machines in use to an empty one that a gang may need whole.
+    - A tight fit empties other machines, which can then be returned.
+    - A task without accelerators fills what those with accelerators leave over. There it
+      costs only the fetch; where it would keep one of them out it is a last resort.
+
+    A price of 1 an hour counts as 5 s. All but the fetch is the same for machines of one type
+    and is computed once.
     """
 
     def __init__(
-        self, spec: Job, price_index: PriceIndex = EMPTY_PRICE_INDEX, slack: float = inf
+        self, spec: Job, price_index: PriceIndex = EMPTY_PRICE_INDEX, slack_s: float = inf
     ) -> None:
-        self.spec, self.price_index, self.slack = spec, price_index, slack
-        self.alone = ALONE if spec.shape == "standing" else 0.0
-        self.bases: dict[tuple[str, bool], float] = {}
+        self.spec, self.price_index, self.slack_s = spec, price_index, slack_s
+        self.empty_penalty_s = EMPTY_MACHINE_PENALTY_S if spec.shape == "standing" else 0.0
+        self.base_costs: dict[tuple[str, bool], float] = {}
 
-    def _base(self, kind: MachineType, spot: bool) -> float:
+    def _compute_base_cost(self, type_info: MachineType, spot: bool) -> float:
         spec, price_index = self.spec, self.price_index
-        part = compute_machine_share(spec, kind)
-        wasteful = 0.0
+        machine_share = compute_machine_share(spec, type_info)
+        ordinary_penalty_s = 0.0
         if spec.spot and not spot:
-            wasteful = WASTEFUL if kind.name in price_index.needed_ordinary_types else UNUSUAL
-        hourly = (kind.spot_price if spot else kind.price) * part
-        hourly += price_index.estimate_displacement_cost(spec, kind)
-        pinned = 40.0 * (1.0 - part) if spec.shape == "standing" else 0.0
-        return wasteful + 5.0 * hourly + pinned
-
-    def __call__(self, room: MachineCapacity) -> tuple[float, float, str]:
-        """The room's price for the job, smaller is better."""
-        kind = (room.type_info.name, room.spot)
-        if not self.spec.gpus and room.type_info.gpus:
-            return self._leftover(room)
-        price = self.bases.get(kind)
-        if price is None:
-            price = self.bases[kind] = self._base(room.type_info, room.spot)
-        if room.task_count == 0:
-            price += self.alone
-        if self.spec.image not in room.cached_images:
-            fetch = fetch_time(self.spec, room)
-            price += fetch + (TOO_LATE if fetch > self.slack else 0.0)
-        return (price, room.largest_free_share, room.id)
-
-    def _leftover(self, room: MachineCapacity) -> tuple[float, float, str]:
-        price = ALONE if room.task_count == 0 else 0.0  # it could be returned
-        if self.price_index.blocks_accelerators(self.spec, room):
-            price += FENCED * (1.0 + room.gpus / room.type_info.gpus)
-        if self.spec.image not in room.cached_images:
-            price += fetch_time(self.spec, room)
-        return (price, room.largest_free_share, room.id)
-
-
-def cost(
+            ordinary_penalty_s = (
+                NEEDED_ORDINARY_PENALTY_S
+                if type_info.name in price_index.needed_ordinary_types
+                else OTHER_ORDINARY_PENALTY_S
+            )
+        hourly_price = (type_info.spot_price if spot else type_info.price) * machine_share
+        hourly_price += price_index.estimate_displacement_cost(spec, type_info)
+        large_machine_penalty_s = 40.0 * (1.0 - machine_share) if spec.shape == "standing" else 0.0
+        return ordinary_penalty_s + 5.0 * hourly_price + large_machine_penalty_s
+
+    def __call__(self, machine: MachineCapacity) -> tuple[float, float, str]:
+        """Return (cost in seconds, largest free share, machine name), smaller is better."""
+        key = (machine.type_info.name, machine.spot)
+        if not self.spec.gpus and machine.type_info.gpus:
+            return self._compute_leftover_cost(machine)
+        cost_s = self.base_costs.get(key)
+        if cost_s is None:
+            cost_s = self.base_costs[key] = self._compute_base_cost(machine.type_info, machine.spot)
+        if machine.task_count == 0:
+            cost_s += self.empty_penalty_s
+        if self.spec.image not in machine.cached_images:
+            fetch_s = estimate_fetch_s(self.spec, machine)
+            cost_s += fetch_s + (LATE_FETCH_PENALTY_S if fetch_s > self.slack_s else 0.0)
+        return (cost_s, machine.largest_free_share, machine.id)
+
+    def _compute_leftover_cost(self, machine: MachineCapacity) -> tuple[float, float, str]:
+        """Return the cost of a task without accelerators on a machine that has some."""
+        cost_s = EMPTY_MACHINE_PENALTY_S if machine.task_count == 0 else 0.0  # could be returned
+        if self.price_index.blocks_accelerators(self.spec, machine):
+            cost_s += BLOCKED_ACCELERATORS_PENALTY_S * (1.0 + machine.gpus / machine.type_info.gpus)
+        if self.spec.image not in machine.cached_images:
+            cost_s += estimate_fetch_s(self.spec, machine)
+        return (cost_s, machine.largest_free_share, machine.id)
+
+
+def compute_placement_cost(
     spec: Job,
-    room: MachineCapacity,
+    machine: MachineCapacity,
     price_index: PriceIndex = EMPTY_PRICE_INDEX,
-    slack: float = inf,
+    slack_s: float = inf,
 ) -> tuple[float, float, str]:
-    """What one task costs in one room."""
-    return Weigher(spec, price_index, slack)(room)
+    """Return the cost of one task on one machine, as `PlacementCost` does."""
+    return PlacementCost(spec, price_index, slack_s)(machine)
 
 
-def zone_limit(spec: Job) -> int | None:
-    """`Apart`: the most tasks in one zone, or None."""
+def get_zone_limit(spec: Job) -> int | None:
+    """Return how many tasks of a job with `Apart` one zone may have; None without it."""
     return (spec.tasks + 1) // 2 if spec.apart else None
 
 
 class PlacementSearch:
-    """The best rooms for one job's tasks, one after the other.
+    """Finds the best machines for the tasks of one job, one after the other.
 
-    The cost of a room changes only when something is taken from it, so all rooms
-    are weighed once, and then only the one that was picked.
+    The cost of a machine changes only when something is reserved on it, so all machines are
+    compared once, and later only the one that was chosen.
     """
 
     def __init__(
         self,
         spec: Job,
-        rooms: Iterable[MachineCapacity],
-        zones: dict[str, int] | None = None,
+        machines: Iterable[MachineCapacity],
+        tasks_by_zone: dict[str, int] | None = None,
         zone: str = "",
         avoid: Collection[str] = (),
         price_index: PriceIndex = EMPTY_PRICE_INDEX,
-        slack: float = inf,
+        slack_s: float = inf,
     ) -> None:
-        self.spec, self.weigh = spec, Weigher(spec, price_index, slack)
-        self.zones = zones if zones is not None else {}
-        self.limit = zone_limit(spec)
-        builds, site, spot = spec.builds, spec.zone or zone, spec.spot
-        cpus, gpus, memory = spec.cpus - SLACK, spec.gpus - SLACK, spec.memory - SLACK
+        """Starts a search.
+
+        Args:
+            spec: The job whose tasks are to be placed.
+            machines: Machines that may be used; reservations are counted in them.
+            tasks_by_zone: The job's other tasks by zone; updated by reservations.
+            zone: The zone to search; empty for all.
+            avoid: Machines to use only if no other fits, since tasks of the job failed there.
+            price_index: Types that other classes need.
+            slack_s: How long the start may take for the job's next objective.
+        """
+        self.spec, self.compute_cost = spec, PlacementCost(spec, price_index, slack_s)
+        self.tasks_by_zone = tasks_by_zone if tasks_by_zone is not None else {}
+        self.zone_limit = get_zone_limit(spec)
+        machine_types, allowed_zone, spot = spec.builds, spec.zone or zone, spec.spot
+        cpus, gpus, memory_gb = (
+            spec.cpus - RESOURCE_TOLERANCE,
+            spec.gpus - RESOURCE_TOLERANCE,
+            spec.memory - RESOURCE_TOLERANCE,
+        )
         self.heap = [
-            ((room.id in avoid, *self.weigh(room)), room)
-            for room in rooms
-            if room.gpus >= gpus
-            and room.cpus >= cpus
-            and room.memory_gb >= memory
-            and not (room.reserved_for_gang or room.is_unschedulable)
-            and (spot or not room.spot)
-            and (builds is None or room.type_info.name in builds)
-            and (not site or site == room.zone)
-            and (not zone or zone == room.zone)
+            ((machine.id in avoid, *self.compute_cost(machine)), machine)
+            for machine in machines
+            if machine.gpus >= gpus
+            and machine.cpus >= cpus
+            and machine.memory_gb >= memory_gb
+            and not (machine.reserved_for_gang or machine.is_unschedulable)
+            and (spot or not machine.spot)
+            and (machine_types is None or machine.type_info.name in machine_types)
+            and (not allowed_zone or allowed_zone == machine.zone)
+            and (not zone or zone == machine.zone)
             and not (
-                room.has_protected_accelerators and price_index.blocks_accelerators(spec, room)
+                machine.has_protected_accelerators
+                and price_index.blocks_accelerators(spec, machine)
             )
         ]
         heapify(self.heap)
 
     def find_best(self) -> MachineCapacity | None:
-        """The best room now; `zones` counts the job's other tasks by zone."""
-        zones, spec = self.zones, self.spec
+        """Return the best machine for the next task, or None if none fits."""
+        tasks_by_zone, spec = self.tasks_by_zone, self.spec
         while self.heap:
-            room = self.heap[0][1]
-            if (zones and spec.together and room.zone not in zones) or (
-                self.limit is not None and zones.get(room.zone, 0) >= self.limit
+            machine = self.heap[0][1]
+            if (tasks_by_zone and spec.together and machine.zone not in tasks_by_zone) or (
+                self.zone_limit is not None
+                and tasks_by_zone.get(machine.zone, 0) >= self.zone_limit
             ):
-                heappop(self.heap)  # for good: a zone's count only grows
+                heappop(self.heap)  # for good: the count of a zone only grows
                 continue
-            return room
+            return machine
         return None
 
     def reserve_best(self) -> MachineCapacity | None:
-        """Take a task's share of the best room and count its zone."""
-        room = self.find_best()
-        if room is None:
+        """Reserve the best machine for the next task and count its zone; None if none fits."""
+        machine = self.find_best()
+        if machine is None:
             return None
-        room.reserve(self.spec)
-        self.zones[room.zone] = self.zones.get(room.zone, 0) + 1
-        if room.fits_task(self.spec) and not (
-            room.has_protected_accelerators
-            and self.weigh.price_index.blocks_accelerators(self.spec, room)
+        machine.reserve(self.spec)
+        self.tasks_by_zone[machine.zone] = self.tasks_by_zone.get(machine.zone, 0) + 1
+        if machine.fits_task(self.spec) and not (
+            machine.has_protected_accelerators
+            and self.compute_cost.price_index.blocks_accelerators(self.spec, machine)
         ):
-            shunned = self.heap[0][0][0]
-            heapreplace(self.heap, ((shunned, *self.weigh(room)), room))
+            is_avoided = self.heap[0][0][0]
+            heapreplace(self.heap, ((is_avoided, *self.compute_cost(machine)), machine))
         else:
             heappop(self.heap)
-        return room
+        return machine
 
 
-def choose(
+def find_best_machine(
     spec: Job,
-    rooms: Iterable[MachineCapacity],
-    zones: dict[str, int] | None = None,
+    machines: Iterable[MachineCapacity],
+    tasks_by_zone: dict[str, int] | None = None,
     zone: str = "",
     avoid: Collection[str] = (),
 ) -> MachineCapacity | None:
-    """The best room for one task.
-
-    `zones` counts the job's other tasks by zone; `avoid` names machines on which
-    it failed, taken only where nothing else is left.
-    """
-    return PlacementSearch(spec, rooms, zones, zone, avoid).find_best()
+    """Return the best machine for one task, or None; see `PlacementSearch` for arguments."""
+    return PlacementSearch(spec, machines, tasks_by_zone, zone, avoid).find_best()
 
 
 class FailedSearches:
-    """What found no room in this round: nothing that asks for as much needs to look again."""
+    """Requests that found no machine in this round.
+
+    A request that needs at least as much, with the same choice of machines, need not be tried.
+    """
 
     def __init__(self) -> None:
-        self.seen: dict[tuple[object, ...], list[tuple[float, float, float]]] = {}
+        self.requests: dict[tuple[object, ...], list[tuple[float, float, float]]] = {}
 
     @staticmethod
-    def _kind(spec: Job, zone: str) -> tuple[object, ...]:
+    def _make_key(spec: Job, zone: str) -> tuple[object, ...]:
         return (tuple(spec.builds) if spec.builds is not None else None, spec.zone, spec.spot, zone)
 
     def add(self, spec: Job, zone: str = "") -> None:
-        """Nothing that needs as much as this finds room now."""
-        found = self.seen.setdefault(self._kind(spec, zone), [])
-        found.append((spec.cpus, spec.gpus, spec.memory))
+        """Record that no machine fits a task of the job, in one zone or in all (empty)."""
+        requests = self.requests.setdefault(self._make_key(spec, zone), [])
+        requests.append((spec.cpus, spec.gpus, spec.memory))
 
     def covers(self, spec: Job, zone: str = "") -> bool:
-        """True if something no larger, with the same choice of machines, found nothing."""
+        """Return whether a request no larger than this one has found no machine."""
         return any(
-            cpus <= spec.cpus and gpus <= spec.gpus and memory <= spec.memory
-            for cpus, gpus, memory in self.seen.get(self._kind(spec, zone), ())
+            cpus <= spec.cpus and gpus <= spec.gpus and memory_gb <= spec.memory
+            for cpus, gpus, memory_gb in self.requests.get(self._make_key(spec, zone), ())
         )
--- a/coursefold/coordination/preemption.py
+++ b/coursefold/coordination/preemption.py
@@ -9,7 +9,7 @@
 
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
-from coursefold.coordination.placement import MachineCapacity, fetch_time, may_run_on
+from coursefold.coordination.placement import MachineCapacity, estimate_fetch_s, may_run_on
 from coursefold.coordination.quota import QuotaTracker
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
@@ -150,7 +150,7 @@
             if found is None:
                 continue
             # A place whose image has to come first is taken late all the same.
-            price = fetch_time(job.spec, room) + 10.0 * len(found)
+            price = estimate_fetch_s(job.spec, room) + 10.0 * len(found)
             if best is None or price < least:
                 best, least = found, price
         if best is not None:
--- a/coursefold/coordination/urgency.py
+++ b/coursefold/coordination/urgency.py
@@ -1,8 +1,8 @@
-"""How urgent a job is for the sake of those that need it.
+"""Priority inheritance: a job is as urgent as the jobs that need it.
 
-A pipeline's user sets priority and deadline on its last job only. So a job is treated
-as the most urgent of those that need it, directly or through others, and has to be over
-early enough for each of them to run before its own latest end.
+A pipeline's user sets priority and deadline on its last job only. So a job is treated as the
+most important of those that need it, directly or through others, and has to be over early
+enough for each of them to run before its own deadline.
 """
 
 from collections.abc import Callable
@@ -13,83 +13,96 @@
 from coursefold.protocol.wire import RANKS, Job
 from coursefold.storage.records import JobRecord
 
-FRESH_S = 10.0  # run times change slowly
-GUEST_PATIENCE_S = 120.0  # then another cell's job has its own priority here
-LEAST_URGENT = max(RANKS.values())
+CACHE_S = 10.0  # run times change slowly
+GUEST_DELAY_S = 120.0  # from then on another cell's job has its own priority here
+LOWEST_PRIORITY = max(RANKS.values())
 
 
 class EffectivePriority(NamedTuple):
-    """Priority (smaller is more important), and when the job has to be over, if at all."""
+    """A job's priority and deadline with those of the jobs that need it.
+
+    Attributes:
+        priority: Smaller is more important.
+        deadline_at: Wall time at which the job has to be over; None without a deadline.
+    """
 
     priority: int
     deadline_at: float | None
 
 
 class PriorityInheritance:
-    """Found once for each job, until who needs whom changes or run times may have."""
+    """Computes effective priorities.
+
+    They are cached until the dependencies between jobs change, and for `CACHE_S` at most,
+    since expected run times may change.
+    """
 
-    def __init__(self, ctx: Context, run: Callable[[Job], float]) -> None:
-        self.ctx, self.run = ctx, run
-        self.known: dict[JobId, EffectivePriority] = {}
-        self.version = -1
-        self.at = -1e9
+    def __init__(self, ctx: Context, estimate_run_s: Callable[[Job], float]) -> None:
+        self.ctx, self.estimate_run_s = ctx, estimate_run_s
+        self.cache: dict[JobId, EffectivePriority] = {}
+        self.cache_version = -1
+        self.cached_at = -1e9
 
     def get_effective_priority(self, name: JobId, job: JobRecord) -> EffectivePriority:
-        """Priority and latest end of a job, for the sake of those that need it too."""
+        """Return priority and deadline of a job, with those of the jobs that need it."""
         needs = self.ctx.view.needs
-        if needs.version != self.version or self.ctx.now - self.at > FRESH_S:
-            self.known.clear()
-            self.version, self.at = needs.version, self.ctx.now
+        if needs.version != self.cache_version or self.ctx.now - self.cached_at > CACHE_S:
+            self.cache.clear()
+            self.cache_version, self.cached_at = needs.version, self.ctx.now
         if name not in needs.by:
-            return self._own(job)
-        return self._along(name)
+            return self._get_own_priority(job)
+        return self._inherit_priority(name)
 
     def get_priority(self, name: JobId, job: JobRecord) -> int:
-        """Priority of a job, smaller is more important."""
+        """Return the effective priority of a job; smaller is more important."""
         return self.get_effective_priority(name, job).priority
 
-    def _own(self, job: JobRecord) -> EffectivePriority:
-        due = job.spec.due
-        rank = RANKS[job.spec.rank]
-        if job.guest is not None and self.ctx.wall - job.guest.at < GUEST_PATIENCE_S:
-            # A cell's own work goes first, but guests do not starve behind it.
-            rank = LEAST_URGENT
-        return EffectivePriority(rank, None if due is None else job.at + due)
+    def _get_own_priority(self, job: JobRecord) -> EffectivePriority:
+        deadline_s = job.spec.due
+        priority = RANKS[job.spec.rank]
+        if job.guest is not None and self.ctx.wall - job.guest.at < GUEST_DELAY_S:
+            # A cell's own jobs go first, but other cells' jobs must not starve behind them.
+            priority = LOWEST_PRIORITY
+        return EffectivePriority(priority, None if deadline_s is None else job.at + deadline_s)
 
-    def _along(self, first: JobId) -> EffectivePriority:
-        """Depth first without recursion: a chain may be as long as its user likes."""
+    def _inherit_priority(self, first: JobId) -> EffectivePriority:
+        """Search depth first, without recursion since users may submit chains of any length."""
         view = self.ctx.view
         stack = [first]
         while stack:
             name = stack[-1]
-            if name in self.known:
+            if name in self.cache:
                 stack.pop()
                 continue
-            after = [j for j in view.needs.by.get(name, ()) if not view.needs.is_doomed(j)]
-            missing = [j for j in after if j not in self.known]
+            dependents = [j for j in view.needs.by.get(name, ()) if not view.needs.is_doomed(j)]
+            missing = [j for j in dependents if j not in self.cache]
             if missing:
                 stack.extend(missing)
                 continue
             stack.pop()
-            urgent = self._own(view.jobs[name]) if name in view.jobs else EffectivePriority(3, None)
-            for later in after:
-                rank, deadline_at = self.known[later]
+            effective = (
+                self._get_own_priority(view.jobs[name])
+                if name in view.jobs
+                else EffectivePriority(3, None)
+            )
+            for dependent in dependents:
+                priority, deadline_at = self.cache[dependent]
                 if deadline_at is not None:
-                    deadline_at -= self._takes(view.jobs[later].spec)
-                if urgent.deadline_at is not None:
+                    deadline_at -= self._estimate_duration_s(view.jobs[dependent].spec)
+                if effective.deadline_at is not None:
                     deadline_at = (
-                        urgent.deadline_at
+                        effective.deadline_at
                         if deadline_at is None
-                        else min(deadline_at, urgent.deadline_at)
+                        else min(deadline_at, effective.deadline_at)
                     )
-                urgent = EffectivePriority(min(rank, urgent.priority), deadline_at)
-            self.known[name] = urgent
-        return self.known[first]
-
-    def _takes(self, spec: Job) -> float:
-        """From the moment when a job may start until it is known to be over."""
-        fetch = 0.0
-        for kind in self.ctx.view.catalog.builds if self.ctx.view.catalog else ():
-            if kind.fetch:
-                fetch = max(fetch, spec.image_gb / kind.fetch)
-        return self.run(spec) + fetch + 2.0 * self.ctx.settings.params.workers.report_s
+                effective = EffectivePriority(min(priority, effective.priority), deadline_at)
+            self.cache[name] = effective
+        return self.cache[first]
+
+    def _estimate_duration_s(self, spec: Job) -> float:
+        """Return the seconds from when a job may start until its end is known."""
+        fetch_s = 0.0
+        for type_info in self.ctx.view.catalog.builds if self.ctx.view.catalog else ():
+            if type_info.fetch:
+                fetch_s = max(fetch_s, spec.image_gb / type_info.fetch)
+        return self.estimate_run_s(spec) + fetch_s + 2.0 * self.ctx.settings.params.workers.report_s
--- a/coursefold/coordination/waiting.py
+++ b/coursefold/coordination/waiting.py
@@ -1,65 +1,92 @@
-"""Jobs with tasks to deal, in the order in which they are served."""
+"""The queue: jobs with tasks to place, in the order in which they are served."""
 
 from collections.abc import Callable
 
 from coursefold.coordination.context import Context
-from coursefold.coordination.ordering import LONG_WAIT_S, Order, QueueOrder
+from coursefold.coordination.ordering import LONG_WAIT_S, QueueKey, QueueOrder
 from coursefold.coordination.quota import QuotaTracker, fits_team_limit
 from coursefold.coordination.urgency import PriorityInheritance
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 from coursefold.storage.records import JobRecord
 
-KEEP_S = 75.0  # a team's limit is kept for its oldest gang so long at a time
-PAUSE_S = 20.0
+# What is kept free for a gang that has waited for long is open to other jobs in between:
+RESERVATION_S = 75.0
+RESERVATION_PAUSE_S = 20.0
 
 
 class QueuedJob:
-    """A job with tasks to deal, in queue order."""
+    """A job with tasks to place, as it stands in the queue in one round.
+
+    Attributes:
+        age_s: Seconds since the job might start.
+        is_within_guarantee: Whether its team's use with it stays within its guarantee.
+        job: The job's record.
+        name: Its name.
+        priority: Effective priority; smaller is more important.
+        slack_s: Seconds until the next latest start; 0 if there is none.
+        sort_key: Its place in the queue.
+    """
 
     __slots__ = ("age_s", "is_within_guarantee", "job", "name", "priority", "slack_s", "sort_key")
 
     def __init__(
-        self, name: JobId, job: JobRecord, within: bool, order: Order, rank: int, age: float
+        self,
+        name: JobId,
+        job: JobRecord,
+        is_within_guarantee: bool,
+        sort_key: QueueKey,
+        priority: int,
+        age_s: float,
     ) -> None:
-        self.name, self.job, self.is_within_guarantee, self.sort_key = name, job, within, order
-        self.priority, self.age_s = rank, age
-        self.slack_s = order.slack
+        self.name, self.job, self.is_within_guarantee, self.sort_key = (
+            name,
+            job,
+            is_within_guarantee,
+            sort_key,
+        )
+        self.priority, self.age_s = priority, age_s
+        self.slack_s = sort_key.slack_s
 
 
-def merged(found: list[QueuedJob]) -> list[QueuedJob]:
-    """Gangs, the small ones first, merged with all other work by everything but size.
+def merge_gangs(found: list[QueuedJob]) -> list[QueuedJob]:
+    """Return the queue: gangs, small ones first, merged with other jobs regardless of size.
 
-    Seen on real processes: size compared with arrays too, so that every new array
-    went before an older gang of three.
+    If gangs and arrays were compared by size, every new array with fewer tasks would go
+    before an older gang of three.
     """
-    gangs_first = sorted(
+    gangs = sorted(
         (w for w in found if w.job.spec.shape == "ensemble"), key=lambda w: w.sort_key, reverse=True
     )
     others = sorted(
         (w for w in found if w.job.spec.shape != "ensemble"), key=lambda w: w.sort_key, reverse=True
     )
     queue: list[QueuedJob] = []
-    while gangs_first and others:
-        gang = gangs_first[-1].sort_key._replace(size=0)
-        queue.append((gangs_first if gang < others[-1].sort_key else others).pop())
-    return queue + gangs_first[::-1] + others[::-1]
+    while gangs and others:
+        gang_key = gangs[-1].sort_key._replace(size=0)
+        queue.append((gangs if gang_key < others[-1].sort_key else others).pop())
+    return queue + gangs[::-1] + others[::-1]
 
 
 class WaitingQueue:
-    """Orders what waits by priority, aims and age."""
+    """Orders waiting jobs by priority, objectives and age.
+
+    Attributes:
+        longest_waiting_gang: The gang that machines are kept free for, or None.
+    """
 
-    def __init__(self, ctx: Context, mean_run: Callable[[Job], float]) -> None:
-        self.ctx, self.mean_run = ctx, mean_run
-        self.ordering = QueueOrder(ctx.settings.params.objectives)
-        self.priority_inheritance = PriorityInheritance(ctx, mean_run)
-        self.first: JobId | None = None  # the gang that room is gathered for
+    def __init__(self, ctx: Context, mean_run_s: Callable[[Job], float]) -> None:
+        """Takes the expected run time of a job's tasks as `mean_run_s`."""
+        self.ctx, self.mean_run_s = ctx, mean_run_s
+        self.queue_order = QueueOrder(ctx.settings.params.objectives)
+        self.priority_inheritance = PriorityInheritance(ctx, mean_run_s)
+        self.longest_waiting_gang: JobId | None = None
 
     def list_queued_jobs(self, quota: QuotaTracker, reasons: dict[JobId, str]) -> list[QueuedJob]:
-        """Jobs that could start something now; why the others could not is added to `reasons`."""
+        """Return jobs that could start a task now, and add to `reasons` why others could not."""
         ctx = self.ctx
         found = []
-        self.first = self._longest()
+        self.longest_waiting_gang = self._find_longest_waiting_gang()
         for name, job in ctx.view.waiting.items():
             if job.retry_at > ctx.wall:
                 reasons[name] = "its tasks failed; it is tried again later"
@@ -68,48 +95,54 @@
                 reasons[name] = "its home cell's grant has ended"
                 continue
             tasks = job.spec.tasks if job.spec.shape != "array" else 1
-            within = quota.is_within_guarantee(job.spec, tasks)
-            run = self.mean_run(job.spec)
+            is_within_guarantee = quota.is_within_guarantee(job.spec, tasks)
+            run_s = self.mean_run_s(job.spec)
             since = ctx.view.since(name, job)
-            rank, due_at = self.priority_inheritance.get_effective_priority(name, job)
-            order = self.ordering.key(
+            priority, deadline_at = self.priority_inheritance.get_effective_priority(name, job)
+            sort_key = self.queue_order.make_key(
                 job.spec,
                 name,
                 ctx.wall - since,
-                run,
-                within,
-                name == self.first,
+                run_s,
+                is_within_guarantee,
+                name == self.longest_waiting_gang,
                 job.waiting_count,
-                rank,
-                None if due_at is None else due_at - since,
+                priority,
+                None if deadline_at is None else deadline_at - since,
+            )
+            found.append(
+                QueuedJob(name, job, is_within_guarantee, sort_key, priority, ctx.wall - since)
             )
-            found.append(QueuedJob(name, job, within, order, rank, ctx.wall - since))
-        return merged(found)
+        return merge_gangs(found)
 
-    def _longest(self) -> JobId | None:
-        """The gang that has waited longest, if that is so long that room is gathered for it."""
-        waits = [
+    def _find_longest_waiting_gang(self) -> JobId | None:
+        """Return the gang that has waited longest, if it has waited for over `LONG_WAIT_S`."""
+        gangs = [
             (self.ctx.view.since(name, job), name)
             for name, job in self.ctx.view.waiting.items()
             if job.spec.shape == "ensemble" and job.retry_at <= self.ctx.wall
         ]
-        at, name = min(waits, default=(self.ctx.wall, None))
-        return name if self.ctx.wall - at > LONG_WAIT_S else None
+        since, name = min(gangs, default=(self.ctx.wall, None))
+        return name if self.ctx.wall - since > LONG_WAIT_S else None
 
-    def reserves_quota(self, wait: QueuedJob) -> bool:
-        """Is the rest of its team's limit kept for this gang, which has waited longest?
+    def reserves_quota(self, queued: QueuedJob) -> bool:
+        """Return whether the rest of its team's limit is kept for this job.
 
-        Only while that can help: replicas end when their user says so, and what they take
-        is not waited for. And not for long at a time, for its team's other jobs would
-        otherwise wait beside free machines and under their limit.
+        That is so for the gang that has waited longest, if its team's replicas leave it
+        enough: replicas end only on request, so what they use does not become free. It is
+        done for `RESERVATION_S` at a time, with pauses, since the team's other jobs wait
+        meanwhile beside free machines and below their limit.
         """
-        spec = wait.job.spec
-        if wait.name != self.first or (wait.age_s - LONG_WAIT_S) % (KEEP_S + PAUSE_S) >= KEEP_S:
+        spec = queued.job.spec
+        if (
+            queued.name != self.longest_waiting_gang
+            or (queued.age_s - LONG_WAIT_S) % (RESERVATION_S + RESERVATION_PAUSE_S) >= RESERVATION_S
+        ):
             return False
-        lasting = [0.0, 0.0]
+        replica_usage = [0.0, 0.0]
         for job in self.ctx.view.jobs.values():
             if job.spec.team == spec.team and job.spec.shape == "standing":
-                lasting[0] += job.spec.cpus * len(job.entries)
-                lasting[1] += job.spec.gpus * len(job.entries)
+                replica_usage[0] += job.spec.cpus * len(job.entries)
+                replica_usage[1] += job.spec.gpus * len(job.entries)
         team = next((t for t in self.ctx.settings.params.teams if t.name == spec.team), None)
-        return fits_team_limit(team, spec, spec.tasks, lasting)
+        return fits_team_limit(team, spec, spec.tasks, replica_usage)
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -72,9 +72,9 @@
     large = job(Shape="ensemble", Pieces=32)
     small = job(Shape="ensemble", Pieces=2)
     late = LONG_WAIT_S + 1.0
-    chosen = order.key(large, "job-1", late, 60.0, False, first=True)
-    other = order.key(large, "job-2", late, 60.0, False)
-    fresh = order.key(small, "job-3", 1.0, 60.0, False)
+    chosen = order.make_key(large, "job-1", late, 60.0, False, is_longest_waiting_gang=True)
+    other = order.make_key(large, "job-2", late, 60.0, False)
+    fresh = order.make_key(small, "job-3", 1.0, 60.0, False)
     assert chosen < fresh < other
 
 
