--- a/coursefold/coordination/leader.py
+++ b/coursefold/coordination/leader.py
@@ -113,7 +113,7 @@
         self.why.clear()
         self.failed_searches = FailedSearches()
         self.gangs_refused = {}
-        self.preemption.begin()
+        self.preemption.start_round()
         quota = QuotaTracker(ctx.settings.params.teams, ctx.view.usage)
         for (name, index), (_, spec) in ctx.pending.items():
             if ctx.view.entry(JobId(name), index) is None and JobId(name) in ctx.view.jobs:
@@ -350,7 +350,7 @@
         if wait.age_s <= RESERVATION_S or not self._pauses():
             self.jobs_without_capacity.add(wait.name)
         self.waiting_reasons[wait.name] = self._why_no_room(job)
-        self.preemption.consider(
+        self.preemption.preempt_for_task(
             wait.name, job, number, rooms, wait.is_within_guarantee, quota, wait.age_s
         )
 
@@ -457,7 +457,7 @@
         if self._gathers(wait, floor):
             self.jobs_without_capacity.add(name)
             self._gather(job.spec, floor)
-        self.preemption.consider_gang(
+        self.preemption.preempt_for_gang(
             name, job, floor.machines, wait.is_within_guarantee, wait.age_s
         )
         if self.reserves_quota(wait):
--- a/coursefold/coordination/owner_placement.py
+++ b/coursefold/coordination/owner_placement.py
@@ -1,4 +1,4 @@
-"""Places for the tasks that the leader dealt to this node."""
+"""An owner's choice of machines for the tasks that the leader has assigned to it."""
 
 import logging
 from collections.abc import Iterable
@@ -19,100 +19,107 @@
 
 log = logging.getLogger(__name__)
 
-SEARCH_S = 3.0  # without room for a dealt task: it goes back to the leader
+MAX_SEARCH_S = 3.0  # then a task that fits no machine goes back to the leader
 
 
 class OwnerPlacement:
-    """Chooses machines in our part."""
+    """Places assigned tasks on machines of this controller.
+
+    Attributes:
+        unplaced_since: By job and task: when an assigned task was first found to fit nowhere.
+    """
 
     def __init__(self, ctx: Context, steps: Steps) -> None:
         self.ctx, self.steps = ctx, steps
-        self.dealt_since: dict[tuple[str, int], float] = {}
+        self.unplaced_since: dict[tuple[str, int], float] = {}
 
     def place_assigned_tasks(self) -> None:
-        """Find machines in our part for the tasks dealt to us."""
+        """Propose machines for assigned tasks; hand back those that fit nowhere for too long."""
         ctx = self.ctx
-        dealt = ctx.view.dealt.get(ctx.me)
-        if not dealt:
-            self.dealt_since.clear()
+        assigned = ctx.view.dealt.get(ctx.me)
+        if not assigned:
+            self.unplaced_since.clear()
             return
-        for key in [k for k in self.dealt_since if k not in dealt]:
-            del self.dealt_since[key]
-        mine = [
-            (name, job, e)
-            for (name, _), e in dealt.items()
-            if (name, e.index) not in ctx.pending and (job := ctx.view.jobs[name]).status == LIVE
+        for key in [k for k in self.unplaced_since if k not in assigned]:
+            del self.unplaced_since[key]
+        unplaced = [
+            (name, job, entry)
+            for (name, _), entry in assigned.items()
+            if (name, entry.index) not in ctx.pending
+            and (job := ctx.view.jobs[name]).status == LIVE
         ]
-        if not mine:
+        if not unplaced:
             return
-        rooms: list[MachineCapacity] | None = None
-        refused = FailedSearches()
-        extra = self._under_way()
+        machines: list[MachineCapacity] | None = None
+        failed_searches = FailedSearches()
+        in_flight = self._find_in_flight()
         found: dict[JobId, list[jobs.Task]] = {}
-        for name, job, entry in mine:
-            # The hint's own share is what we look for: its room counts as taken for us.
-            room = ctx.room(entry.machine)
-            if room is not None and self._fits(room, entry, extra.get(room.id, ())):
+        for name, job, entry in unplaced:
+            # The leader's choice comes first; what the task needs is already subtracted there.
+            machine = ctx.room(entry.machine)
+            if machine is not None and self._fits_assigned(
+                machine, entry, in_flight.get(machine.id, ())
+            ):
                 found.setdefault(name, []).append(
-                    jobs.Task(entry.index, 0, room.zone, room.id, room.session)
+                    jobs.Task(entry.index, 0, machine.zone, machine.id, machine.session)
                 )
                 continue
-            if rooms is None:
-                rooms = ctx.rooms(mine_only=True)
-            room = None
-            if not refused.covers(job.spec, entry.zone):
-                room = PlacementSearch(
-                    job.spec, rooms, zone=entry.zone, price_index=ctx.market()
+            if machines is None:
+                machines = ctx.rooms(mine_only=True)
+            machine = None
+            if not failed_searches.covers(job.spec, entry.zone):
+                machine = PlacementSearch(
+                    job.spec, machines, zone=entry.zone, price_index=ctx.market()
                 ).reserve_best()
-                if room is None:
-                    refused.add(job.spec, entry.zone)
-            if room is not None:
-                extra.setdefault(room.id, []).append(job.spec)
+                if machine is None:
+                    failed_searches.add(job.spec, entry.zone)
+            if machine is not None:
+                in_flight.setdefault(machine.id, []).append(job.spec)
                 found.setdefault(name, []).append(
-                    jobs.Task(entry.index, 0, room.zone, room.id, room.session)
+                    jobs.Task(entry.index, 0, machine.zone, machine.id, machine.session)
                 )
                 continue
-            since = self.dealt_since.setdefault((name, entry.index), ctx.now)
-            if ctx.now - since > SEARCH_S:
+            since = self.unplaced_since.setdefault((name, entry.index), ctx.now)
+            if ctx.now - since > MAX_SEARCH_S:
                 self.steps.propose(name, "undeal", entry, f"undeal{entry.index}", rank=LATER)
         for name, tasks in found.items():
             self.propose_placement(name, ctx.view.jobs[name], tasks)
 
-    def _under_way(self) -> dict[str, list[Job]]:
-        """What is about to be placed where the records do not show it yet, by machine."""
+    def _find_in_flight(self) -> dict[str, list[Job]]:
+        """Return by machine the tasks about to be placed where the records do not show them yet."""
         ctx = self.ctx
-        found: dict[str, list[Job]] = {}
+        in_flight: dict[str, list[Job]] = {}
         for (name, index), (machine, spec) in ctx.pending.items():
             entry = ctx.view.entry(JobId(name), index)
             if entry is None or entry.machine != machine:
-                found.setdefault(machine, []).append(spec)
-        return found
+                in_flight.setdefault(machine, []).append(spec)
+        return in_flight
 
     @staticmethod
-    def _fits(room: MachineCapacity, entry: Entry, extra: Iterable[Job]) -> bool:
-        """Does the hint, whose room counts the task already, still hold?"""
-        for spec in extra:
-            room.reserve(spec)
+    def _fits_assigned(machine: MachineCapacity, entry: Entry, in_flight: Iterable[Job]) -> bool:
+        """Return whether an assigned task, already subtracted, fits beside tasks in flight."""
+        for spec in in_flight:
+            machine.reserve(spec)
         return (
-            not (room.reserved_for_gang or room.is_unschedulable)
-            and (not entry.zone or entry.zone == room.zone)
-            and min(room.cpus, room.gpus, room.memory_gb) >= -RESOURCE_TOLERANCE
+            not (machine.reserved_for_gang or machine.is_unschedulable)
+            and (not entry.zone or entry.zone == machine.zone)
+            and min(machine.cpus, machine.gpus, machine.memory_gb) >= -RESOURCE_TOLERANCE
         )
 
     def propose_placement(self, name: JobId, job: JobRecord, tasks: list[jobs.Task]) -> None:
-        """Write a job's new places, all at once; until then they count as taken."""
+        """Write places for tasks of a job in one edit; `ctx.pending` reserves them until then."""
         ctx = self.ctx
         for task in tasks:
             ctx.pending[(name, task.number)] = (task.machine, job.spec)
 
-        def settled(ok: bool, why: str) -> None:
+        def on_settled(ok: bool, why: str) -> None:
             for task in tasks:
                 ctx.pending.pop((name, task.number), None)
-            where = ",".join(f"{t.number}:{t.machine}" for t in tasks)
+            places = ",".join(f"{t.number}:{t.machine}" for t in tasks)
             if ok:
-                log.info("place %s on %s", name, where)
+                log.info("place %s on %s", name, places)
             else:
-                log.debug("place %s on %s: %s", name, where, why)
+                log.debug("place %s on %s: %s", name, places, why)
 
         step = jobs.Step("place", tuple(tasks), ctx.me)
-        self.steps.write(name, step, "", SOON, settled)
+        self.steps.write(name, step, "", SOON, on_settled)
--- a/coursefold/coordination/preemption.py
+++ b/coursefold/coordination/preemption.py
@@ -1,7 +1,7 @@
-"""Making room for more important work by stopping less important work.
+"""Preemption: less important tasks are stopped to make room for more important ones.
 
-The stop is written to the victim's record first, with its grace for saving;
-the room counts as free only once the victim is proven gone.
+The stop is written to the victim's record first, with the time that it has to save its
+progress. Its resources count as free only once its place is confirmed gone.
 """
 
 import logging
@@ -18,181 +18,214 @@
 
 log = logging.getLogger(__name__)
 
-AGAIN_S = 12.0
-GUARANTEE_S = 30.0
-RETRY_S = 2.0  # after a look that found nothing: it walks the whole fleet
-LOOKS = 4  # in one round
+REPEAT_S = 12.0  # after victims were chosen: the time that they may take to end
+GUARANTEE_DELAY_S = 30.0  # before a team's guarantee stops others: a machine could boot instead
+RETRY_S = 2.0  # after a search without result, since it goes through the whole fleet
+MAX_SEARCHES = 4  # in one round
 
 
 class Preemption:
-    """Chooses victims; one plan per waiting task until it had time to work."""
-
-    def __init__(self, ctx: Context, rank: Callable[[JobId, JobRecord], int]) -> None:
-        self.ctx, self.rank = ctx, rank
-        self.plans: dict[tuple[str, int], float] = {}
-        self.looks = 0
-
-    def begin(self) -> None:
-        """A new round of dealing."""
-        self.looks = 0
-        for key in [k for k, until in self.plans.items() if until < self.ctx.now]:
-            del self.plans[key]
-
-    def patience(self, spec: Job) -> float:
-        """Replicas wait for nothing; other work gives machines a while to free up."""
+    """Chooses victims, at most once per waiting task until the last choice could take effect.
+
+    Attributes:
+        not_before: By job and task: the time before which no other search is made for it.
+        search_count: Searches in this round.
+    """
+
+    def __init__(self, ctx: Context, get_priority: Callable[[JobId, JobRecord], int]) -> None:
+        """Takes the effective priority of a job as `get_priority`; smaller is more important."""
+        self.ctx, self.get_priority = ctx, get_priority
+        self.not_before: dict[tuple[str, int], float] = {}
+        self.search_count = 0
+
+    def start_round(self) -> None:
+        """Start a round of assignments."""
+        self.search_count = 0
+        for key in [k for k, until in self.not_before.items() if until < self.ctx.now]:
+            del self.not_before[key]
+
+    def get_delay_s(self, spec: Job) -> float:
+        """Return how long a job waits for machines to become free before it stops others."""
         return 0.0 if spec.shape == "standing" else 8.0
 
     def may_stop(
         self,
         spec: Job,
-        rank: int,
-        within: bool,
-        name: JobId,
+        priority: int,
+        is_within_guarantee: bool,
+        victim_name: JobId,
         victim: JobRecord,
         quota: QuotaTracker | None,
-        age: float,
+        age_s: float,
     ) -> bool:
-        """The protocol's rule: a lower rank, or another team's work beyond its guarantee.
+        """Return whether a job may stop tasks of another one.
 
-        The latter only after a machine could have booted instead. Seen: arrays of two
-        teams within their guarantees stopped one task of a third's after the other, up
-        to a hundred for an array of 41, and it was late for all its aims.
+        It may stop those of lower priority and, if it is within its team's guarantee, those
+        of another team beyond its guarantee. The latter only after `GUARANTEE_DELAY_S`:
+        otherwise arrays of two teams within their guarantees would stop one task of a third
+        team's after the other, up to a hundred for an array of 41 tasks, which would then
+        miss all its objectives.
         """
         if not spec.gpus and victim.spec.gpus:
-            return False  # it uses what work with accelerators leaves over
-        if self.rank(name, victim) > rank:
+            return False  # it only fills what tasks with accelerators leave over
+        if self.get_priority(victim_name, victim) > priority:
             return True
         return (
-            within
+            is_within_guarantee
             and quota is not None
-            and age > GUARANTEE_S
+            and age_s > GUARANTEE_DELAY_S
             and victim.spec.team != spec.team
-            # The rule would allow it, but a replica's users notice every second.
+            # The guarantee would allow it, but a replica's users notice every second.
             and victim.spec.shape != "standing"
             and not quota.is_within_guarantee(victim.spec, 0)
             and bool(quota.teams[victim.spec.team].gpus or quota.teams[victim.spec.team].cpus)
         )
 
-    def _ready(self, name: JobId, job: JobRecord, index: int, age: float) -> bool:
-        if age < self.patience(job.spec):
+    def _start_search(self, name: JobId, job: JobRecord, index: int, age_s: float) -> bool:
+        """Return whether victims may be searched for a task now, and count the search."""
+        if age_s < self.get_delay_s(job.spec):
             return False
-        if self.looks >= LOOKS or (name, index) in self.plans:
+        if self.search_count >= MAX_SEARCHES or (name, index) in self.not_before:
             return False
-        self.looks += 1
-        self.plans[(name, index)] = self.ctx.now + RETRY_S
+        self.search_count += 1
+        self.not_before[(name, index)] = self.ctx.now + RETRY_S
         return True
 
-    def _lowest(self, room: MachineCapacity) -> int:
-        """The least important rank on a machine, which is the highest number."""
-        return self.ctx.view.load(room.id).lowest
+    def _get_lowest_priority(self, machine: MachineCapacity) -> int:
+        """Return the least important priority on a machine, which is the highest number."""
+        return self.ctx.view.load(machine.id).lowest
 
-    def victims(
+    def find_victims(
         self,
-        room: MachineCapacity,
+        machine: MachineCapacity,
         spec: Job,
-        rank: int,
-        within: bool,
+        priority: int,
+        is_within_guarantee: bool,
         quota: QuotaTracker | None,
-        age: float,
+        age_s: float,
     ) -> list[tuple[JobId, Entry]] | None:
-        """The fewest and cheapest tasks to stop on a machine, or None if that is not enough."""
+        """Return the tasks to stop on a machine so that a task fits, the cheapest first.
+
+        None if stopping does not suffice, if the task fits already, or if tasks there are
+        being stopped already. Tasks with checkpoints come first, then less important ones,
+        then those of newer jobs.
+        """
         ctx = self.ctx
-        on = [
-            (name, e, ctx.view.jobs[name])
-            for name, e in ctx.view.on_machine(room.id)
-            if (name, e.index) not in ctx.pending
+        placed = [
+            (name, entry, ctx.view.jobs[name])
+            for name, entry in ctx.view.on_machine(machine.id)
+            if (name, entry.index) not in ctx.pending
         ]
-        if any(e.stage == STOPPING for _, e, _ in on):
-            return None  # room is being made here already
-        able = [
-            (name, e, job)
-            for name, e, job in on
-            if e.stage == PLACED
+        if any(entry.stage == STOPPING for _, entry, _ in placed):
+            return None
+        candidates = [
+            (name, entry, job)
+            for name, entry, job in placed
+            if entry.stage == PLACED
             and job.status == LIVE
             and (job.spec.shape != "ensemble" or job.spec.tasks == 1)
-            and self.may_stop(spec, rank, within, name, job, quota, age)
+            and self.may_stop(spec, priority, is_within_guarantee, name, job, quota, age_s)
         ]
-        able.sort(key=lambda v: (v[2].spec.checkpoint <= 0, -self.rank(v[0], v[2]), -v[2].at))
-        chosen: list[tuple[JobId, Entry]] = []
-        for name, e, job in able:
-            if room.fits_task(spec):
+        candidates.sort(
+            key=lambda c: (c[2].spec.checkpoint <= 0, -self.get_priority(c[0], c[2]), -c[2].at)
+        )
+        victims: list[tuple[JobId, Entry]] = []
+        for name, entry, job in candidates:
+            if machine.fits_task(spec):
                 break
-            room.release(job.spec)
-            chosen.append((name, e))
-        enough = room.fits_task(spec)
-        for name, _ in chosen:
-            room.reserve(ctx.view.jobs[name].spec)
-        return chosen if enough and chosen else None
-
-    def consider(
+            machine.release(job.spec)
+            victims.append((name, entry))
+        is_enough = machine.fits_task(spec)
+        for name, _ in victims:
+            machine.reserve(ctx.view.jobs[name].spec)
+        return victims if is_enough and victims else None
+
+    def preempt_for_task(
         self,
         name: JobId,
         job: JobRecord,
         index: int,
-        rooms: list[MachineCapacity],
-        within: bool,
+        machines: list[MachineCapacity],
+        is_within_guarantee: bool,
         quota: QuotaTracker | None,
-        age: float,
+        age_s: float,
     ) -> None:
-        """Make room for one task, if stopping others can."""
-        if not self._ready(name, job, index, age):
+        """Stop tasks on one machine, if that makes room for a task of the job."""
+        if not self._start_search(name, job, index, age_s):
             return
         best: list[tuple[JobId, Entry]] | None = None
-        least = 0.0
-        rank = self.rank(name, job)
-        owed = within and quota is not None and age > GUARANTEE_S
-        for room in rooms:
-            if not (owed or self._lowest(room) > rank):
-                continue  # nothing there that this may stop
-            if room.is_unschedulable or room.reserved_for_gang or not may_run_on(job.spec, room):
+        lowest_cost_s = 0.0
+        priority = self.get_priority(name, job)
+        is_guaranteed = is_within_guarantee and quota is not None and age_s > GUARANTEE_DELAY_S
+        for machine in machines:
+            if not (is_guaranteed or self._get_lowest_priority(machine) > priority):
+                continue  # no task there may be stopped
+            if (
+                machine.is_unschedulable
+                or machine.reserved_for_gang
+                or not may_run_on(job.spec, machine)
+            ):
                 continue
-            found = self.victims(room, job.spec, rank, within, quota, age)
-            if found is None:
+            victims = self.find_victims(
+                machine, job.spec, priority, is_within_guarantee, quota, age_s
+            )
+            if victims is None:
                 continue
-            # A place whose image has to come first is taken late all the same.
-            price = estimate_fetch_s(job.spec, room) + 10.0 * len(found)
-            if best is None or price < least:
-                best, least = found, price
+            # A machine that has to fetch the image first would start the task late all the same.
+            cost_s = estimate_fetch_s(job.spec, machine) + 10.0 * len(victims)
+            if best is None or cost_s < lowest_cost_s:
+                best, lowest_cost_s = victims, cost_s
         if best is not None:
-            self._stop(name, index, best)
+            self._stop_victims(name, index, best)
 
-    def consider_gang(
-        self, name: JobId, job: JobRecord, rooms: list[MachineCapacity], within: bool, age: float
+    def preempt_for_gang(
+        self,
+        name: JobId,
+        job: JobRecord,
+        machines: list[MachineCapacity],
+        is_within_guarantee: bool,
+        age_s: float,
     ) -> None:
-        """Make room for a gang: only if every missing place can be freed."""
-        if not self._ready(name, job, 0, age):
+        """Stop tasks for a gang, only if that makes room for all its tasks.
+
+        Each machine counts for one task; guarantees are not used.
+        """
+        if not self._start_search(name, job, 0, age_s):
             return
-        rank = self.rank(name, job)
-        rooms = [
-            r
-            for r in rooms
-            if (r.fits_task(job.spec) or self._lowest(r) > rank) and may_run_on(job.spec, r)
+        priority = self.get_priority(name, job)
+        machines = [
+            machine
+            for machine in machines
+            if (machine.fits_task(job.spec) or self._get_lowest_priority(machine) > priority)
+            and may_run_on(job.spec, machine)
         ]
-        if not any(self._lowest(r) > rank for r in rooms):
+        if not any(self._get_lowest_priority(machine) > priority for machine in machines):
             return
-        zones = sorted({r.zone for r in rooms}) if job.spec.together else [""]
+        zones = sorted({machine.zone for machine in machines}) if job.spec.together else [""]
         for zone in zones:
             chosen: list[tuple[JobId, Entry]] = []
-            places = 0
-            for room in sorted(rooms, key=lambda r: -r.largest_free_share):
-                if zone and room.zone != zone:
+            place_count = 0
+            for machine in sorted(machines, key=lambda candidate: -candidate.largest_free_share):
+                if zone and machine.zone != zone:
                     continue
-                if room.fits_task(job.spec):
-                    places += 1
-                elif places < job.spec.tasks:
-                    found = self.victims(room, job.spec, rank, within, None, age)
-                    if found is not None:
-                        chosen.extend(found)
-                        places += 1
-            if places >= job.spec.tasks and chosen:
-                self._stop(name, 0, chosen)
+                if machine.fits_task(job.spec):
+                    place_count += 1
+                elif place_count < job.spec.tasks:
+                    victims = self.find_victims(
+                        machine, job.spec, priority, is_within_guarantee, None, age_s
+                    )
+                    if victims is not None:
+                        chosen.extend(victims)
+                        place_count += 1
+            if place_count >= job.spec.tasks and chosen:
+                self._stop_victims(name, 0, chosen)
                 return
 
-    def _stop(self, name: JobId, index: int, victims: list[tuple[JobId, Entry]]) -> None:
+    def _stop_victims(self, name: JobId, index: int, victims: list[tuple[JobId, Entry]]) -> None:
         ctx = self.ctx
-        self.plans[(name, index)] = ctx.now + AGAIN_S
+        self.not_before[(name, index)] = ctx.now + REPEAT_S
         for victim, entry in victims:
-            log.info("stop %s/%d for %s", victim, entry.index, name)
+            log.info("stopping %s/%d to make room for %s", victim, entry.index, name)
             ctx.queue.propose(
                 Edit(
                     job_key(victim),
