--- a/coursefold/coordination/leader.py
+++ b/coursefold/coordination/leader.py
@@ -13,7 +13,7 @@
 
 from coursefold.coordination import gangs, jobs, preemption
 from coursefold.coordination.context import Context
-from coursefold.coordination.demand import Runs
+from coursefold.coordination.demand import RunTimes
 from coursefold.coordination.ordering import LONG_WAIT_S
 from coursefold.coordination.owner import Owner
 from coursefold.coordination.placement import (
@@ -74,8 +74,10 @@
         self.booting_offerings: list[MachineOffering] = []
         self.blocked_offerings: set[MachineOffering] = set()
         self.logged_reasons: dict[JobId, str] = {}
-        self.run_times = Runs()
-        self.waiting_queue = WaitingQueue(ctx, lambda spec: self.run_times.mean(spec, ctx.now))
+        self.run_times = RunTimes()
+        self.waiting_queue = WaitingQueue(
+            ctx, lambda spec: self.run_times.mean_run_s(spec, ctx.now)
+        )
         self.preemption = preemption.Preemption(
             ctx, self.waiting_queue.priority_inheritance.get_priority
         )
@@ -248,7 +250,7 @@
                 ctx.queue.propose(
                     Edit(
                         job_key(name),
-                        jobs.undeal(index, owner),
+                        jobs.unassign(index, owner),
                         fence=ctx.view.token,
                         tag=f"undeal{index}",
                     )
@@ -262,14 +264,20 @@
         ctx = self.ctx
         for name in islice(ctx.view.needs.doomed, ORPHANS):
             ctx.queue.propose(
-                Edit(job_key(name), jobs.orphan(), rank=LATER, fence=ctx.view.token, tag="orphan")
+                Edit(
+                    job_key(name),
+                    jobs.cancel_dependent(),
+                    rank=LATER,
+                    fence=ctx.view.token,
+                    tag="orphan",
+                )
             )
 
     def _release(self, name: JobId, job: JobRecord) -> None:
         """What the job needs is done: let its tasks be dealt, in the same transaction."""
         ctx = self.ctx
         if job.needs:
-            change = jobs.release(ctx.view.since(name, job))
+            change = jobs.clear_prerequisites(ctx.view.since(name, job))
             ctx.queue.propose(Edit(job_key(name), change, fence=ctx.view.token, tag="release"))
 
     def _zones(self, job: JobRecord) -> dict[str, int]:
@@ -358,13 +366,13 @@
         """Place on our own machines, and deal the rest to their owners."""
         self._release(name, job)
         self.in_flight.setdefault(name, set()).update(choice.number for choice in choices)
-        places: list[jobs.Task] = []
-        deals: list[jobs.Dealt] = []
+        places: list[jobs.TaskRef] = []
+        deals: list[jobs.Assignment] = []
         for number, room in choices:
             if room.owner == self.ctx.me:
-                places.append(jobs.Task(number, 0, room.zone, room.id, room.session))
+                places.append(jobs.TaskRef(number, 0, room.zone, room.id, room.session))
             else:
-                deals.append(jobs.Dealt(number, room.owner, room.zone, room.id))
+                deals.append(jobs.Assignment(number, room.owner, room.zone, room.id))
         if places:
             self.owner.placing.propose_placement(name, job, places)
         if deals:
@@ -385,7 +393,7 @@
             return False
         return any(build == best and not spot for build, _, spot in self.booting_offerings)
 
-    def _deal(self, name: JobId, job: JobRecord, deals: list[jobs.Dealt]) -> None:
+    def _deal(self, name: JobId, job: JobRecord, deals: list[jobs.Assignment]) -> None:
         ctx = self.ctx
         for task in deals:
             ctx.pending[(name, task.number)] = (task.machine, job.spec)
@@ -398,7 +406,7 @@
                 why or "done",
             )  # fmt: skip
 
-        edit = Edit(job_key(name), jobs.deal(deals), fence=ctx.view.token, done=settled)
+        edit = Edit(job_key(name), jobs.assign(deals), fence=ctx.view.token, done=settled)
         ctx.queue.propose(edit)
 
     def _gang(self, wait: QueuedJob, floor: gangs.GangCandidates, quota: QuotaTracker) -> None:
@@ -532,7 +540,7 @@
             self.ctx.queue.propose(
                 Edit(
                     job_key(name),
-                    jobs.stopping(None, attempt),
+                    jobs.mark_stopping(None, attempt),
                     fence=self.ctx.view.token,
                     tag=f"end{attempt}",
                 )
--- a/coursefold/coordination/owner_placement.py
+++ b/coursefold/coordination/owner_placement.py
@@ -1,21 +1,25 @@
 """An owner's choice of machines for the tasks that the leader has assigned to it."""
 
+
+
 import logging
 from collections.abc import Iterable
-
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
-from coursefold.coordination.placement import (
-    RESOURCE_TOLERANCE,
-    FailedSearches,
-    MachineCapacity,
-    PlacementSearch,
-)
-from coursefold.coordination.steps import Steps
+from coursefold.coordination.placement import FailedSearches
+from coursefold.coordination.placement import MachineCapacity
+from coursefold.coordination.placement import PlacementSearch
+from coursefold.coordination.placement import RESOURCE_TOLERANCE
+from coursefold.coordination.transitions import TransitionProposer
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
-from coursefold.storage.edits import LATER, SOON
-from coursefold.storage.records import LIVE, Entry, JobRecord
+from coursefold.storage.edits import LATER
+from coursefold.storage.edits import SOON
+from coursefold.storage.records import Entry
+from coursefold.storage.records import JobRecord
+from coursefold.storage.records import LIVE
+
+
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +33,7 @@
         unplaced_since: By job and task: when an assigned task was first found to fit nowhere.
     """
 
-    def __init__(self, ctx: Context, steps: Steps) -> None:
+    def __init__(self, ctx: Context, steps: TransitionProposer) -> None:
         self.ctx, self.steps = ctx, steps
         self.unplaced_since: dict[tuple[str, int], float] = {}
 
@@ -53,7 +57,7 @@
         machines: list[MachineCapacity] | None = None
         failed_searches = FailedSearches()
         in_flight = self._find_in_flight()
-        found: dict[JobId, list[jobs.Task]] = {}
+        found: dict[JobId, list[jobs.TaskRef]] = {}
         for name, job, entry in unplaced:
             # The leader's choice comes first; what the task needs is already subtracted there.
             machine = ctx.room(entry.machine)
@@ -61,7 +65,7 @@
                 machine, entry, in_flight.get(machine.id, ())
             ):
                 found.setdefault(name, []).append(
-                    jobs.Task(entry.index, 0, machine.zone, machine.id, machine.session)
+                    jobs.TaskRef(entry.index, 0, machine.zone, machine.id, machine.session)
                 )
                 continue
             if machines is None:
@@ -76,7 +80,7 @@
             if machine is not None:
                 in_flight.setdefault(machine.id, []).append(job.spec)
                 found.setdefault(name, []).append(
-                    jobs.Task(entry.index, 0, machine.zone, machine.id, machine.session)
+                    jobs.TaskRef(entry.index, 0, machine.zone, machine.id, machine.session)
                 )
                 continue
             since = self.unplaced_since.setdefault((name, entry.index), ctx.now)
@@ -106,7 +110,7 @@
             and min(machine.cpus, machine.gpus, machine.memory_gb) >= -RESOURCE_TOLERANCE
         )
 
-    def propose_placement(self, name: JobId, job: JobRecord, tasks: list[jobs.Task]) -> None:
+    def propose_placement(self, name: JobId, job: JobRecord, tasks: list[jobs.TaskRef]) -> None:
         """Write places for tasks of a job in one edit; `ctx.pending` reserves them until then."""
         ctx = self.ctx
         for task in tasks:
@@ -121,5 +125,5 @@
             else:
                 log.debug("place %s on %s: %s", name, places, why)
 
-        step = jobs.Step("place", tuple(tasks), ctx.me)
+        step = jobs.TaskTransition("place", tuple(tasks), ctx.me)
         self.steps.write(name, step, "", SOON, on_settled)
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -16,7 +16,7 @@
     PlacementSearch,
     PriceIndex,
 )
-from coursefold.coordination.queueing import optimum
+from coursefold.coordination.queueing import find_optimal_servers
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Catalog, Job, decode, encode
 from coursefold.storage import codec, records
@@ -80,18 +80,18 @@
 
 def test_a_pool_grows_for_a_gang_that_its_free_halves_do_not_help() -> None:
     demand = PoolDemand(SMALL, False, 60.0)
-    demand.machines, demand.busy = 20, 20.0  # every machine half full
-    demand.gang = 8.0
-    assert demand.target(0.0005) <= 40
-    demand.apart = 8.0
-    assert demand.target(0.0005) == 48
+    demand.machine_count, demand.busy_slots = 20, 20.0  # every machine half full
+    demand.gang_slots = 8.0
+    assert demand.target_slots(0.0005) <= 40
+    demand.zone_bound_slots = 8.0
+    assert demand.target_slots(0.0005) == 48
 
 
 def test_what_is_placed_is_not_placed_again() -> None:
     """A step may come twice, by the leader and by the owner itself."""
     placed = JobRecord(job(), 0.0, attempt=1, entries=[Entry(0, PLACED, 1, "n1", "a", "i-1", 1)])
     with pytest.raises(NotApplicableError):
-        jobs.place("n1", [jobs.Task(0, 0, "a", "i-2", 1)])(placed)
+        jobs.place("n1", [jobs.TaskRef(0, 0, "a", "i-2", 1)])(placed)
 
 
 def test_classes_go_where_they_displace_least() -> None:
@@ -121,8 +121,8 @@
 
 
 def test_arrivals_in_lumps_make_a_larger_pool() -> None:
-    single = optimum(0.5, 1 / 60, 0.0007, 0.0005)
-    assert optimum(0.5, 1 / 60, 0.0007, 0.0005, batch=20.0) > single
+    single = find_optimal_servers(0.5, 1 / 60, 0.0007, 0.0005)
+    assert find_optimal_servers(0.5, 1 / 60, 0.0007, 0.0005, batch=20.0) > single
 
 
 def test_replicas_wait_for_the_first_machines_of_their_type() -> None:
@@ -151,7 +151,7 @@
     refused = iter([True, False])
     asked: list[str | None] = []
     before = fleet.lists_read
-    fleet.list_at = -1e9
+    fleet.list_requested_at = -1e9
     for _ in range(16):
         world.now += 0.25
         world.enter()
