--- a/coursefold/coordination/leader.py
+++ b/coursefold/coordination/leader.py
@@ -1,9 +1,10 @@
-"""The leader's dealing: which waiting task goes to which owner, and gangs whole.
+"""The leader's decisions: which waiting task goes to which owner, and where gangs run.
 
-The leader sees free room everywhere (entries of the records, siblings'
-summaries), keeps teams within their limits, orders the queue, and deals. An
-owner still chooses the machine in its part; the leader's choice is a hint. A
-gang's places are the leader's own decision, on machines lent by their owners.
+The leader knows what is free on all machines, from the entries of the records and the
+summaries of its siblings. It keeps teams within their limits, orders the queue and assigns
+tasks to the owners of machines. For a single task its choice of a machine is a hint, and the
+owner decides. The places of a gang are decided by the leader alone, on machines that their
+owners have reserved for it.
 """
 
 import logging
@@ -37,34 +38,57 @@
 
 log = logging.getLogger(__name__)
 
-ENTRY_BYTES = 70
-RECORD_BYTES = 1500
-PACKED_BYTES = 24  # an entry in a record laid over several keys; measured: 8 to 16
-LEAST_DEALT = 200  # tasks of one job that may be dealt in one round
-DEALT_SHARE = 0.25  # of the machines, where that is more: rounds take longer with more of them
-PATIENT_S = 20.0  # small work leaves room to work with accelerators for so long
-NEVER_REFUSED = 1 << 30  # tasks, more than a gang can have
-ORPHANS = 8  # endings of jobs that need a cancelled one, written at a time
+ENTRY_BYTES = 70  # one entry of a record that fits one key
+RECORD_BYTES = 1500  # such a record without its entries
+PACKED_ENTRY_BYTES = 24  # one entry of a record spread over several keys; 8 to 16 are usual
+MIN_ROUND_TASKS = 200  # tasks of one job that may always be assigned in one round
+ROUND_TASKS_PER_MACHINE = 0.25  # where that is more: rounds of larger fleets take longer
+ACCELERATOR_PRECEDENCE_S = 20.0  # a waiting job without accelerators is held back this long
+NO_FAILED_GANG_TASKS = 1 << 30  # more tasks than a gang can have
+MAX_DEPENDENT_ENDINGS = 8  # proposed in one round, for jobs that need a cancelled one
 
 
-class Choice(NamedTuple):
-    """A room for one task of a job."""
+class TaskPlacement(NamedTuple):
+    """The machine chosen for one task of a job.
+
+    Attributes:
+        number: Index of the task in its job.
+        machine: The machine, on which the task is reserved.
+    """
 
     number: int
-    room: MachineCapacity
+    machine: MachineCapacity
 
 
-def may_use(spec: Job, place: MachineOffering) -> bool:
-    """May the job's tasks run on such machines: type, zone, spot or ordinary?"""
+def may_use_offering(spec: Job, offering: MachineOffering) -> bool:
+    """Return whether the job allows the offering's machine type, zone and spot."""
     return (
-        (spec.builds is None or place.machine_type in spec.builds)
-        and (spec.zone is None or spec.zone == place.zone)
-        and (spec.spot or not place.spot)
+        (spec.builds is None or offering.machine_type in spec.builds)
+        and (spec.zone is None or spec.zone == offering.zone)
+        and (spec.spot or not offering.spot)
     )
 
 
 class Leader:
-    """Deals while this node leads."""
+    """Assigns tasks while this controller leads.
+
+    Attributes:
+        requested_machines: Machines that their owners are asked to keep free, for gangs or
+            returns, and until when.
+        waiting_reasons: Why each waiting job waits, in its user's words.
+        jobs_without_capacity: Jobs that found no machine in this round and hold others back.
+        booting_offerings: What the machines that boot were rented as, once for each machine.
+        blocked_offerings: What the cloud has refused for lack of capacity a moment ago.
+        logged_reasons: The reason last logged for each waiting job.
+        run_times: Run times of finished tasks by class.
+        waiting_queue: Orders the jobs that have tasks to place.
+        preemption: Stops less important tasks.
+        available_types: Types of which an ordinary machine takes tasks.
+        in_flight: By job, the tasks whose assignment or placement is being written.
+        failed_searches: What found no machine in this round.
+        smallest_failed_gangs: By needs, the size of the smallest gang that did not fit.
+        no_capacity_reasons: By choice of machines, the reason for waiting in this round.
+    """
 
     def __init__(self, ctx: Context, owner: Owner) -> None:
         self.ctx, self.owner = ctx, owner
@@ -84,37 +108,37 @@
         self.available_types: set[str] = set()
         self.in_flight: dict[JobId, set[int]] = {}
         self.failed_searches = FailedSearches()
-        self.gangs_refused: dict[tuple[object, ...], int] = {}
-        self.why: dict[tuple[object, ...], str] = {}
+        self.smallest_failed_gangs: dict[tuple[object, ...], int] = {}
+        self.no_capacity_reasons: dict[tuple[object, ...], str] = {}
 
     def max_entries(self) -> int:
-        """As many tasks at once as a record has room for."""
+        """Return how many tasks at once the record of one job has room for."""
         queue = self.ctx.queue
         if self.ctx.view.level:
-            return max(4, queue.limits.value * queue.most_parts() // PACKED_BYTES)
+            return max(4, queue.limits.value * queue.most_parts() // PACKED_ENTRY_BYTES)
         return max(4, int((queue.limits.value - RECORD_BYTES) / ENTRY_BYTES))
 
     def list_queued_jobs(self, quota: QuotaTracker) -> list[QueuedJob]:
-        """Jobs that could start something now, the most pressing first."""
+        """Return the jobs that could start a task now, the most urgent first."""
         return self.waiting_queue.list_queued_jobs(quota, self.waiting_reasons)
 
-    def reserves_quota(self, wait: QueuedJob) -> bool:
-        """Is the rest of its team's limit kept for this gang, which has waited longest?"""
-        return self.waiting_queue.reserves_quota(wait)
+    def reserves_quota(self, queued: QueuedJob) -> bool:
+        """Return whether the rest of its team's limit is kept for this job."""
+        return self.waiting_queue.reserves_quota(queued)
 
     def tick(self) -> None:
-        """One round of dealing, while this node leads."""
+        """Run one round of assignments if this controller leads."""
         ctx = self.ctx
         if not ctx.leading():
             self.requested_machines.clear()
             return
-        self._undeal_lost()
-        self._end_orphans()
+        self._unassign_from_departed()
+        self._propose_dependent_endings()
         self.waiting_reasons = {}
         self.jobs_without_capacity.clear()
-        self.why.clear()
+        self.no_capacity_reasons.clear()
         self.failed_searches = FailedSearches()
-        self.gangs_refused = {}
+        self.smallest_failed_gangs = {}
         self.preemption.start_round()
         quota = QuotaTracker(ctx.settings.params.teams, ctx.view.usage)
         for (name, index), (_, spec) in ctx.pending.items():
@@ -125,128 +149,137 @@
             self.in_flight.setdefault(JobId(key), set()).add(index)
         queue = self.list_queued_jobs(quota)
         if queue:
-            self._deal_all(queue, quota)
+            self._assign_all(queue, quota)
         for machine in [m for m, until in self.requested_machines.items() if until < ctx.now]:
             del self.requested_machines[machine]
-        for wait in queue:
-            if wait.sort_key.is_late and wait.name in self.waiting_reasons:
-                self.waiting_reasons[wait.name] += "; it is late for its aims"
-        self._tell_reasons()
-
-    def _deal_all(self, queue: list[QueuedJob], quota: QuotaTracker) -> None:
-        rooms = self.ctx.rooms()
-        self.available_types = {r.type_info.name for r in rooms if not r.spot}
-        # Ordinary machines first to those that may use no others: a task that may run
-        # on spot machines would sit where a gang or replica could be, and be stopped.
-        short = False
-        floor = self._floor(rooms)
-        small = [wait for wait in queue if not wait.job.spec.gpus]
-        large = [wait for wait in queue if wait.job.spec.gpus]
-        for wait in large:
-            if not wait.job.spec.spot:
-                short |= not self._serve(wait, rooms, floor, quota)
-        most = rooms
-        if short:
-            needed = self.ctx.market().needed_ordinary_types
-            rooms = [r for r in rooms if r.spot or r.type_info.name not in needed]
-            floor = self._floor(rooms)
-        for wait in large:
-            if wait.job.spec.spot:
-                self._serve(wait, rooms, floor, quota)
-        if not small:
+        for queued in queue:
+            if queued.sort_key.is_late and queued.name in self.waiting_reasons:
+                self.waiting_reasons[queued.name] += "; it is late for its aims"
+        self._log_waiting_reasons()
+
+    def _assign_all(self, queue: list[QueuedJob], quota: QuotaTracker) -> None:
+        machines = self.ctx.rooms()
+        self.available_types = {m.type_info.name for m in machines if not m.spot}
+        # Ordinary machines go first to jobs that may use no others: a task that may run on
+        # spot machines would take the place of a gang or replica, and be stopped for it.
+        lacks_capacity = False
+        candidates = self._make_gang_candidates(machines)
+        without_accelerators = [queued for queued in queue if not queued.job.spec.gpus]
+        with_accelerators = [queued for queued in queue if queued.job.spec.gpus]
+        for queued in with_accelerators:
+            if not queued.job.spec.spot:
+                lacks_capacity |= not self._serve_job(queued, machines, candidates, quota)
+        all_machines = machines
+        if lacks_capacity:
+            needed_types = self.ctx.market().needed_ordinary_types
+            machines = [m for m in machines if m.spot or m.type_info.name not in needed_types]
+            candidates = self._make_gang_candidates(machines)
+        for queued in with_accelerators:
+            if queued.job.spec.spot:
+                self._serve_job(queued, machines, candidates, quota)
+        if not without_accelerators:
             return
-        self._assign_small(small, most, quota)
+        self._assign_small(without_accelerators, all_machines, quota)
 
     def _assign_small(
-        self, small: list[QueuedJob], rooms: list[MachineCapacity], quota: QuotaTracker
+        self, jobs_to_place: list[QueuedJob], machines: list[MachineCapacity], quota: QuotaTracker
     ) -> None:
-        """Deal work without accelerators: what those with them leave over.
+        """Assign tasks without accelerators to what those with accelerators leave over.
 
-        While they wait for room, it goes only where it keeps none of them out; beside what
-        is gathered for a gang too. What has waited for long takes what is free all the same,
-        but for the gathered: it needs little, and not for long. Seen on a day with more gangs
-        than machines: a tenth of the arrays of a pipeline's second stage waited 269 s.
+        While jobs with accelerators wait, these tasks go only where they keep none of them
+        out; that includes machines earmarked for a gang. After `ACCELERATOR_PRECEDENCE_S`
+        they take any free room except on earmarked machines, since they need little and not
+        for long. Without that, on a day with more gangs than machines, a tenth of the arrays
+        of a pipeline's second stage waited for 269 s.
         """
-        for room in rooms:
-            room.has_protected_accelerators = bool(self.jobs_without_capacity)
-            if room.earmarked_for_gang:
-                room.is_unschedulable = False
-        floor = self._floor(rooms)
-        for wait in small:
-            self._serve(wait, rooms, floor, quota)
-        patient = [w for w in small if w.name in self.jobs_without_capacity and w.age_s > PATIENT_S]
-        if not patient:
+        for machine in machines:
+            machine.has_protected_accelerators = bool(self.jobs_without_capacity)
+            if machine.earmarked_for_gang:
+                machine.is_unschedulable = False
+        candidates = self._make_gang_candidates(machines)
+        for queued in jobs_to_place:
+            self._serve_job(queued, machines, candidates, quota)
+        overdue = [
+            queued
+            for queued in jobs_to_place
+            if queued.name in self.jobs_without_capacity and queued.age_s > ACCELERATOR_PRECEDENCE_S
+        ]
+        if not overdue:
             return
-        for room in rooms:
-            room.has_protected_accelerators = room.earmarked_for_gang
-        self.failed_searches, self.gangs_refused = FailedSearches(), {}
-        floor = self._floor(rooms)
-        for wait in patient:
-            self._serve(wait, rooms, floor, quota)
-
-    def _floor(self, rooms: list[MachineCapacity]) -> gangs.GangCandidates:
-        """Rooms for gangs; what is lent is lent to this leader, or to one before it."""
+        for machine in machines:
+            machine.has_protected_accelerators = machine.earmarked_for_gang
+        self.failed_searches, self.smallest_failed_gangs = FailedSearches(), {}
+        candidates = self._make_gang_candidates(machines)
+        for queued in overdue:
+            self._serve_job(queued, machines, candidates, quota)
+
+    def _make_gang_candidates(self, machines: list[MachineCapacity]) -> gangs.GangCandidates:
+        """Return the machines for gangs.
+
+        A reserved machine counts only if this leader has requested it, since it may be
+        reserved for a former leader.
+        """
         return gangs.GangCandidates(
-            r for r in rooms if not r.reserved_for_gang or r.id in self.requested_machines
+            m for m in machines if not m.reserved_for_gang or m.id in self.requested_machines
         )
 
-    def _serve(
+    def _serve_job(
         self,
-        wait: QueuedJob,
-        rooms: list[MachineCapacity],
-        floor: gangs.GangCandidates,
+        queued: QueuedJob,
+        machines: list[MachineCapacity],
+        candidates: gangs.GangCandidates,
         quota: QuotaTracker,
     ) -> bool:
-        """Place what can be; False if the job still waits for room."""
-        if wait.job.spec.shape == "ensemble" and wait.job.spec.tasks > 1:
-            self._gang(wait, floor, quota)
+        """Place what can be placed of a job; return False if it lacks machines."""
+        if queued.job.spec.shape == "ensemble" and queued.job.spec.tasks > 1:
+            self._serve_gang(queued, candidates, quota)
         else:
-            self._tasks(wait, rooms, quota)
-        return wait.name not in self.jobs_without_capacity
+            self._serve_tasks(queued, machines, quota)
+        return queued.name not in self.jobs_without_capacity
 
-    def _why_no_room(self, job: JobRecord) -> str:
-        """In a user's words: machines are booting, the cloud is empty, or all are busy."""
+    def _explain_no_capacity(self, job: JobRecord) -> str:
+        """Return, in its user's words, why no machine has room for a task of the job."""
         spec = job.spec
-        kind = (tuple(spec.builds or ()), spec.zone, spec.spot)
-        found = self.why.get(kind)
-        if found is None:
-            found = self.why[kind] = self._look_why(spec)
-        return found
-
-    def _look_why(self, spec: Job) -> str:
-        booting = [place for place in self.booting_offerings if may_use(spec, place)]
+        key = (tuple(spec.builds or ()), spec.zone, spec.spot)
+        reason = self.no_capacity_reasons.get(key)
+        if reason is None:
+            reason = self.no_capacity_reasons[key] = self._find_no_capacity_reason(spec)
+        return reason
+
+    def _find_no_capacity_reason(self, spec: Job) -> str:
+        booting = [o for o in self.booting_offerings if may_use_offering(spec, o)]
         if booting:
             zones = {zone for _, zone, _ in booting}
             where = f" in {zones.pop()}" if len(zones) == 1 else ""
             count = "a machine" if len(booting) == 1 else f"{len(booting)} machines"
             return f"waiting for {count} to boot{where}"
-        if any(may_use(spec, place) for place in self.blocked_offerings):
+        if any(may_use_offering(spec, offering) for offering in self.blocked_offerings):
             return "waiting for room on a machine: the cloud has no more of some kinds"
         return "waiting for room on a machine"
 
-    def _tell_reasons(self) -> None:
-        """Log why a job waits, once it has waited a while and whenever the reason changes."""
+    def _log_waiting_reasons(self) -> None:
+        """Log why a job waits, once it has waited for 5 s and whenever the reason changes."""
         ctx = self.ctx
-        for name, why in self.waiting_reasons.items():
+        for name, reason in self.waiting_reasons.items():
             job = ctx.view.jobs.get(name)
             if (
                 job
                 and ctx.wall - ctx.view.since(name, job) > 5.0
-                and self.logged_reasons.get(name) != why
+                and self.logged_reasons.get(name) != reason
             ):
-                log.info("%s waits: %s", name, why)
-                self.logged_reasons[name] = why
+                log.info("job %s waits: %s", name, reason)
+                self.logged_reasons[name] = reason
         for name in [n for n in self.logged_reasons if n not in ctx.view.jobs]:
             del self.logged_reasons[name]
 
-    def _undeal_lost(self) -> None:
-        """Deals to owners that are no longer members go back into the queue."""
+    def _unassign_from_departed(self) -> None:
+        """Return tasks to the queue that are assigned to owners no longer in the roster."""
         ctx = self.ctx
         roster = ctx.view.roster
-        for owner, dealt in ctx.view.dealt.items():
+        for owner, assigned in ctx.view.dealt.items():
             if roster is not None and roster.member(owner) is not None:
                 continue
-            for (name, index), _ in dealt.items():
+            for (name, index), _ in assigned.items():
                 ctx.queue.propose(
                     Edit(
                         job_key(name),
@@ -256,13 +289,13 @@
                     )
                 )
 
-    def _end_orphans(self) -> None:
-        """Write down the endings of jobs that need a cancelled one, a few at a time.
+    def _propose_dependent_endings(self) -> None:
+        """Propose the endings of jobs that need a cancelled one, a few at a time.
 
-        Every node knows them already, so they wait behind everything else.
+        All controllers derive these endings from the records, so writing them is never urgent.
         """
         ctx = self.ctx
-        for name in islice(ctx.view.needs.doomed, ORPHANS):
+        for name in islice(ctx.view.needs.doomed, MAX_DEPENDENT_ENDINGS):
             ctx.queue.propose(
                 Edit(
                     job_key(name),
@@ -273,270 +306,304 @@
                 )
             )
 
-    def _release(self, name: JobId, job: JobRecord) -> None:
-        """What the job needs is done: let its tasks be dealt, in the same transaction."""
+    def _clear_prerequisites(self, name: JobId, job: JobRecord) -> None:
+        """Record that all that the job needs is done, in the transaction of its first edit."""
         ctx = self.ctx
         if job.needs:
             change = jobs.clear_prerequisites(ctx.view.since(name, job))
             ctx.queue.propose(Edit(job_key(name), change, fence=ctx.view.token, tag="release"))
 
-    def _zones(self, job: JobRecord) -> dict[str, int]:
-        zones: dict[str, int] = {}
-        for e in job.entries:
-            zones[e.zone] = zones.get(e.zone, 0) + 1
-        return zones
-
-    def _tasks(self, wait: QueuedJob, rooms: list[MachineCapacity], quota: QuotaTracker) -> None:
-        """Deal a job's waiting tasks one by one while room, limit and record allow."""
-        spec = wait.job.spec
-        under_way = self.in_flight.get(wait.name, set())
-        if under_way and (spec.apart or spec.together):
-            return  # zones of what is under way are not settled yet
+    def _count_tasks_by_zone(self, job: JobRecord) -> dict[str, int]:
+        counts: dict[str, int] = {}
+        for entry in job.entries:
+            counts[entry.zone] = counts.get(entry.zone, 0) + 1
+        return counts
+
+    def _serve_tasks(
+        self, queued: QueuedJob, machines: list[MachineCapacity], quota: QuotaTracker
+    ) -> None:
+        """Place a job's waiting tasks one by one while machines, limit and record allow."""
+        spec = queued.job.spec
+        in_flight = self.in_flight.get(queued.name, set())
+        if in_flight and (spec.apart or spec.together):
+            return  # the zones of tasks in flight are not certain yet
         if self._should_wait_for_type(spec):
-            self.waiting_reasons[wait.name] = self._why_no_room(wait.job)
+            self.waiting_reasons[queued.name] = self._explain_no_capacity(queued.job)
             return
-        choices = self._choose_rooms(wait, rooms, quota, under_way)
-        if choices:
-            self._write_choices(wait.name, wait.job, choices)
+        placements = self._choose_machines(queued, machines, quota, in_flight)
+        if placements:
+            self._propose_placements(queued.name, queued.job, placements)
 
-    def _choose_rooms(
+    def _choose_machines(
         self,
-        wait: QueuedJob,
-        rooms: list[MachineCapacity],
+        queued: QueuedJob,
+        machines: list[MachineCapacity],
         quota: QuotaTracker,
-        under_way: set[int],
-    ) -> list[Choice]:
-        """Rooms for a job's waiting tasks, as many as there are; a reason if there are too few."""
-        job = wait.job
+        in_flight: set[int],
+    ) -> list[TaskPlacement]:
+        """Return machines for as many waiting tasks as possible.
+
+        A reason for waiting is recorded if some tasks get none.
+        """
+        job = queued.job
         spec = job.spec
-        refused = self.failed_searches.covers(spec)
-        most = self._most_to_deal(job, under_way, refused, len(rooms))
-        picker: PlacementSearch | None = None
-        choices: list[Choice] = []
-        for number in job.waiting(most):
-            if number in under_way:
+        has_failed = self.failed_searches.covers(spec)
+        max_tasks = self._get_max_tasks(job, in_flight, has_failed, len(machines))
+        search: PlacementSearch | None = None
+        placements: list[TaskPlacement] = []
+        for number in job.waiting(max_tasks):
+            if number in in_flight:
                 continue
             if not quota.fits_limit(spec, 1):
-                self.waiting_reasons[wait.name] = quota.explain_refusal(spec)
+                self.waiting_reasons[queued.name] = quota.explain_refusal(spec)
                 break
-            if picker is None and not refused:
-                zones = self._zones(job)
-                market = self.ctx.market()
-                picker = PlacementSearch(
-                    spec, rooms, zones, avoid=job.failed_on, price_index=market
+            if search is None and not has_failed:
+                tasks_by_zone = self._count_tasks_by_zone(job)
+                price_index = self.ctx.market()
+                search = PlacementSearch(
+                    spec, machines, tasks_by_zone, avoid=job.failed_on, price_index=price_index
                 )
-            room = picker.reserve_best() if picker else None
-            if room is None:
-                self._finds_no_room(wait, number, rooms, quota, refused)
+            machine = search.reserve_best() if search else None
+            if machine is None:
+                self._handle_no_capacity(queued, number, machines, quota, has_failed)
                 break
             quota.add_usage(spec, 1)
-            choices.append(Choice(number, room))
-        return choices
+            placements.append(TaskPlacement(number, machine))
+        return placements
 
-    def _most_to_deal(
-        self, job: JobRecord, under_way: set[int], refused: bool, machines: int
+    def _get_max_tasks(
+        self, job: JobRecord, in_flight: set[int], has_failed: bool, machine_count: int
     ) -> int:
-        """How many waiting tasks to look at, those under way included."""
-        room_left = self.max_entries() - len(job.entries) - len(under_way)
-        if room_left <= 0:
+        """Return how many waiting tasks to consider in this round, with those in flight."""
+        free_entries = self.max_entries() - len(job.entries) - len(in_flight)
+        if free_entries <= 0:
             return 0
-        most = max(LEAST_DEALT, int(DEALT_SHARE * machines))
-        return (1 if refused else min(room_left, most)) + len(under_way)
+        round_tasks = max(MIN_ROUND_TASKS, int(ROUND_TASKS_PER_MACHINE * machine_count))
+        return (1 if has_failed else min(free_entries, round_tasks)) + len(in_flight)
 
-    def _finds_no_room(
+    def _handle_no_capacity(
         self,
-        wait: QueuedJob,
+        queued: QueuedJob,
         number: int,
-        rooms: list[MachineCapacity],
+        machines: list[MachineCapacity],
         quota: QuotaTracker,
-        refused: bool,
+        has_failed: bool,
     ) -> None:
-        """A task finds no room: nothing that needs as much looks again in this round."""
-        job = wait.job
-        if not (refused or job.spec.apart or job.spec.together):
+        """Record that a task found no machine, and preempt others for it where that may be.
+
+        Tasks that need as much are not searched for again in this round. A job that has
+        waited for over `RESERVATION_S` holds no others back during pauses.
+        """
+        job = queued.job
+        if not (has_failed or job.spec.apart or job.spec.together):
             self.failed_searches.add(job.spec)
-        if wait.age_s <= RESERVATION_S or not self._pauses():
-            self.jobs_without_capacity.add(wait.name)
-        self.waiting_reasons[wait.name] = self._why_no_room(job)
+        if queued.age_s <= RESERVATION_S or not self._is_reservation_pause():
+            self.jobs_without_capacity.add(queued.name)
+        self.waiting_reasons[queued.name] = self._explain_no_capacity(job)
         self.preemption.preempt_for_task(
-            wait.name, job, number, rooms, wait.is_within_guarantee, quota, wait.age_s
+            queued.name, job, number, machines, queued.is_within_guarantee, quota, queued.age_s
         )
 
-    def _write_choices(self, name: JobId, job: JobRecord, choices: list[Choice]) -> None:
-        """Place on our own machines, and deal the rest to their owners."""
-        self._release(name, job)
-        self.in_flight.setdefault(name, set()).update(choice.number for choice in choices)
-        places: list[jobs.TaskRef] = []
-        deals: list[jobs.Assignment] = []
-        for number, room in choices:
-            if room.owner == self.ctx.me:
-                places.append(jobs.TaskRef(number, 0, room.zone, room.id, room.session))
+    def _propose_placements(
+        self, name: JobId, job: JobRecord, placements: list[TaskPlacement]
+    ) -> None:
+        """Place tasks on this controller's machines and assign the others to their owners."""
+        self._clear_prerequisites(name, job)
+        self.in_flight.setdefault(name, set()).update(placed.number for placed in placements)
+        own_tasks: list[jobs.TaskRef] = []
+        assignments: list[jobs.Assignment] = []
+        for number, machine in placements:
+            if machine.owner == self.ctx.me:
+                own_tasks.append(jobs.TaskRef(number, 0, machine.zone, machine.id, machine.session))
             else:
-                deals.append(jobs.Assignment(number, room.owner, room.zone, room.id))
-        if places:
-            self.owner.placing.propose_placement(name, job, places)
-        if deals:
-            self._deal(name, job, deals)
+                assignments.append(jobs.Assignment(number, machine.owner, machine.zone, machine.id))
+        if own_tasks:
+            self.owner.placing.propose_placement(name, job, own_tasks)
+        if assignments:
+            self._propose_assignments(name, job, assignments)
+
+    def _get_start_slack_s(self, queued: QueuedJob) -> float:
+        """Return how long the start may take on the worker for the job's next objective.
 
-    def _slack(self, wait: QueuedJob) -> float:
-        """How long a start may take for the next aim, once the worker has been told."""
-        return wait.slack_s - self.ctx.settings.params.workers.report_s if wait.slack_s else inf
+        Infinite without one. The worker may learn of the task only with its next report.
+        """
+        return queued.slack_s - self.ctx.settings.params.workers.report_s if queued.slack_s else inf
 
     def _should_wait_for_type(self, spec: Job) -> bool:
-        """Should a replica wait for the first machines of the type that it belongs on?
+        """Return whether a replica waits for the first machine of its preferred type.
 
-        It stays for long where it starts. Seen: large machines boot first, and at the
-        start all replicas took them, for the whole day, from tasks that fit no others.
+        A replica stays for long where it starts. Large machines boot first; without this,
+        all replicas take them when a cell starts, for the whole day, from tasks that fit on
+        no other type.
         """
-        best = self.ctx.market().find_preferred_type(spec) if spec.shape == "standing" else None
-        if best is None or best in self.available_types:
+        preferred = (
+            self.ctx.market().find_preferred_type(spec) if spec.shape == "standing" else None
+        )
+        if preferred is None or preferred in self.available_types:
             return False
-        return any(build == best and not spot for build, _, spot in self.booting_offerings)
+        return any(
+            machine_type == preferred and not spot
+            for machine_type, _, spot in self.booting_offerings
+        )
 
-    def _deal(self, name: JobId, job: JobRecord, deals: list[jobs.Assignment]) -> None:
+    def _propose_assignments(
+        self, name: JobId, job: JobRecord, assignments: list[jobs.Assignment]
+    ) -> None:
         ctx = self.ctx
-        for task in deals:
+        for task in assignments:
             ctx.pending[(name, task.number)] = (task.machine, job.spec)
 
-        def settled(ok: bool, why: str) -> None:
-            for task in deals:
+        def on_settled(ok: bool, why: str) -> None:
+            for task in assignments:
                 ctx.pending.pop((name, task.number), None)
             log.debug(
-                "deal %s: %s: %s", name, ",".join(f"{t.number}:{t.owner}" for t in deals),
+                "deal %s: %s: %s", name, ",".join(f"{t.number}:{t.owner}" for t in assignments),
                 why or "done",
             )  # fmt: skip
 
-        edit = Edit(job_key(name), jobs.assign(deals), fence=ctx.view.token, done=settled)
+        edit = Edit(job_key(name), jobs.assign(assignments), fence=ctx.view.token, done=on_settled)
         ctx.queue.propose(edit)
 
-    def _gang(self, wait: QueuedJob, floor: gangs.GangCandidates, quota: QuotaTracker) -> None:
-        """Place a whole gang; machines of other owners have to be lent first."""
-        name, job = wait.name, wait.job
+    def _serve_gang(
+        self, queued: QueuedJob, candidates: gangs.GangCandidates, quota: QuotaTracker
+    ) -> None:
+        """Place a whole gang, once the owners of its machines have reserved them for it."""
+        name, job = queued.name, queued.job
         if job.entries:
             self.waiting_reasons[name] = "waiting for the former attempt's tasks to be gone"
-            self._end_attempt(name, job)
+            self._stop_attempt(name, job)
             return
         if self.ctx.queue.busy(job_key(name)):
             return
         if not quota.fits_limit(job.spec, job.spec.tasks):
             self.waiting_reasons[name] = quota.explain_refusal(job.spec)
-            if self.reserves_quota(wait):
-                # Else its team's small jobs, which fit what is left, would go on for ever.
+            if self.reserves_quota(queued):
+                # Otherwise its team's small jobs, which fit what is left of the limit, would
+                # keep taking it.
                 quota.add_usage(job.spec, job.spec.tasks)
             return
-        plan = self._plan_gang(wait, floor)
+        plan = self._plan_gang(queued, candidates)
         if plan is None:
-            self._gang_finds_no_room(wait, floor, quota)
+            self._handle_gang_without_capacity(queued, candidates, quota)
             return
-        for room in plan:
-            room.reserve(job.spec)
-            room.is_unschedulable = True
+        for machine in plan:
+            machine.reserve(job.spec)
+            machine.is_unschedulable = True
         quota.add_usage(job.spec, job.spec.tasks)
-        missing = [r for r in plan if r.owner != self.ctx.me and not r.reserved_for_gang]
-        if missing:
+        unreserved = [m for m in plan if m.owner != self.ctx.me and not m.reserved_for_gang]
+        if unreserved:
             self.waiting_reasons[name] = "waiting for machines to be lent"
-            for room in missing:
-                self._want(room)
+            for machine in unreserved:
+                self._request_machine(machine)
             return
-        self._place_gang(name, job, plan)
+        self._propose_gang(name, job, plan)
 
     def _plan_gang(
-        self, wait: QueuedJob, floor: gangs.GangCandidates
+        self, queued: QueuedJob, candidates: gangs.GangCandidates
     ) -> list[MachineCapacity] | None:
-        """Rooms for the whole gang; None without a look where a smaller one like it had none."""
-        spec = wait.job.spec
-        kind = (spec.zone, spec.spot, tuple(spec.builds or ()), spec.together)
-        key = (*kind, spec.cpus, spec.gpus, spec.memory)
-        least_refused = self.gangs_refused.get(key, NEVER_REFUSED)
+        """Return machines for the whole gang, or None.
+
+        Nothing is searched if a gang with the same needs and no more tasks has not fitted.
+        """
+        spec = queued.job.spec
+        constraints = (spec.zone, spec.spot, tuple(spec.builds or ()), spec.together)
+        key = (*constraints, spec.cpus, spec.gpus, spec.memory)
+        smallest_failed = self.smallest_failed_gangs.get(key, NO_FAILED_GANG_TASKS)
         plan = None
-        if spec.tasks < least_refused:
-            rooms = floor.find_fitting(spec)
-            plan = gangs.find_gang_placement(spec, rooms, self.ctx.market(), self._slack(wait))
+        if spec.tasks < smallest_failed:
+            machines = candidates.find_fitting(spec)
+            plan = gangs.find_gang_placement(
+                spec, machines, self.ctx.market(), self._get_start_slack_s(queued)
+            )
         if plan is None:
-            self.gangs_refused[key] = min(least_refused, spec.tasks)
+            self.smallest_failed_gangs[key] = min(smallest_failed, spec.tasks)
         return plan
 
-    def _gang_finds_no_room(
-        self, wait: QueuedJob, floor: gangs.GangCandidates, quota: QuotaTracker
+    def _handle_gang_without_capacity(
+        self, queued: QueuedJob, candidates: gangs.GangCandidates, quota: QuotaTracker
     ) -> None:
-        """Gather machines for the gang, or stop lesser work, where that can help."""
-        name, job = wait.name, wait.job
-        self.waiting_reasons[name] = f"{self._why_no_room(job)} ({job.spec.tasks} tasks at once)"
-        if self._gathers(wait, floor):
+        """Earmark machines for a gang that does not fit, or preempt for it, if that can help."""
+        name, job = queued.name, queued.job
+        self.waiting_reasons[name] = (
+            f"{self._explain_no_capacity(job)} ({job.spec.tasks} tasks at once)"
+        )
+        if self._may_earmark(queued, candidates):
             self.jobs_without_capacity.add(name)
-            self._gather(job.spec, floor)
+            self._earmark_machines(job.spec, candidates)
         self.preemption.preempt_for_gang(
-            name, job, floor.machines, wait.is_within_guarantee, wait.age_s
+            name, job, candidates.machines, queued.is_within_guarantee, queued.age_s
         )
-        if self.reserves_quota(wait):
-            # Seen: machines for it were booting, and what its team's limit had just left
-            # free for it went to an array; so it waited again, for seven minutes in all.
+        if self.reserves_quota(queued):
+            # Its machines may be booting. Otherwise an array could take what the team's limit
+            # has just left free for the gang, which then waits again, for 7 minutes in all.
             quota.add_usage(job.spec, job.spec.tasks)
 
-    def _place_gang(self, name: JobId, job: JobRecord, plan: list[MachineCapacity]) -> None:
-        """Write all places of a gang at once."""
+    def _propose_gang(self, name: JobId, job: JobRecord, plan: list[MachineCapacity]) -> None:
+        """Write the places of all tasks of a gang in one edit."""
         ctx = self.ctx
-        # By owner: the record holds places that differ only by machine as one run.
-        places = sorted((r.owner, r.zone, r.id, r.session) for r in plan)
+        # Sorted by owner: a record stores places that differ only by machine as one run.
+        places = sorted((m.owner, m.zone, m.id, m.session) for m in plan)
 
-        def settled(ok: bool, why: str) -> None:
+        def on_settled(ok: bool, why: str) -> None:
             for number in range(job.spec.tasks):
                 ctx.pending.pop((name, number), None)
-            log.info("gang %s on %s: %s", name, ",".join(r.id for r in plan), why or "placed")
+            log.info("gang %s on %s: %s", name, ",".join(m.id for m in plan), why or "placed")
 
-        self._release(name, job)
-        for number, room in enumerate(plan):
-            ctx.pending[(name, number)] = (room.id, job.spec)
+        self._clear_prerequisites(name, job)
+        for number, machine in enumerate(plan):
+            ctx.pending[(name, number)] = (machine.id, job.spec)
         edit = Edit(
             job_key(name),
             jobs.place_gang(places),
             fence=ctx.view.token,
             tag="gang",
-            done=settled,
+            done=on_settled,
         )
         if not ctx.queue.propose(edit):
-            settled(False, "under way")
+            on_settled(False, "under way")
 
-    def _gathers(self, wait: QueuedJob, floor: gangs.GangCandidates) -> bool:
-        """Is lesser work kept off machines for this gang, for which there is no room yet?
+    def _may_earmark(self, queued: QueuedJob, candidates: gangs.GangCandidates) -> bool:
+        """Return whether less important tasks are kept off machines for a gang.
 
-        Not where it can not come to pass, and one that has waited for very long pauses
-        now and then: nobody is to wait for minutes beside a free machine.
+        Not for a gang that could never be placed. For one that has waited for very long
+        there are pauses, so that no other job waits for minutes beside a free machine.
         """
-        if wait.age_s > LONG_WAIT_S + RESERVATION_S and self._pauses():
+        if queued.age_s > LONG_WAIT_S + RESERVATION_S and self._is_reservation_pause():
             return False
-        return floor.may_fit_eventually(wait.job.spec) or self._may_grow(wait.job.spec)
+        return candidates.may_fit_eventually(queued.job.spec) or self._may_get_machines(
+            queued.job.spec
+        )
 
-    def _pauses(self) -> bool:
-        """The moments in which old reservations hold nobody back."""
+    def _is_reservation_pause(self) -> bool:
+        """Return whether jobs that have waited for long hold no others back just now."""
         return self.ctx.wall % (RESERVATION_S + RESERVATION_PAUSE_S) >= RESERVATION_S
 
-    def _may_grow(self, spec: Job) -> bool:
-        """Are there machines that the job may use still to come?"""
+    def _may_get_machines(self, spec: Job) -> bool:
+        """Return whether machines that the job may use are booting or could be rented."""
         catalog = self.ctx.view.catalog
-        kinds = [k for k in catalog.builds if fits_machine_type(spec, k)] if catalog else []
-        names = {k.name for k in kinds}
-        places = {
-            MachineOffering(k.name, z, spot)
-            for k in kinds
-            for z in k.zones
+        types = [t for t in catalog.builds if fits_machine_type(spec, t)] if catalog else []
+        names = {t.name for t in types}
+        offerings = {
+            MachineOffering(t.name, zone, spot)
+            for t in types
+            for zone in t.zones
             for spot in (False, True)
         }
-        places -= self.blocked_offerings
-        places |= {place for place in self.booting_offerings if place.machine_type in names}
-        return any(may_use(spec, place) for place in places)
-
-    def _gather(self, spec: Job, floor: gangs.GangCandidates) -> None:
-        for room in floor.find_to_earmark(spec) if spec.gpus else ():
-            # In this round only: keeps lesser work off.
-            room.is_unschedulable = room.earmarked_for_gang = True
-            if room.owner != self.ctx.me and room.task_count == 0:
-                self._want(room)
-
-    def _end_attempt(self, name: JobId, job: JobRecord) -> None:
-        """A gang that lost a task: stop the rest, for the next attempt needs them all gone."""
+        offerings -= self.blocked_offerings
+        offerings |= {o for o in self.booting_offerings if o.machine_type in names}
+        return any(may_use_offering(spec, offering) for offering in offerings)
+
+    def _earmark_machines(self, spec: Job, candidates: gangs.GangCandidates) -> None:
+        """Keep less important tasks off the emptiest machines, in this round only."""
+        for machine in candidates.find_to_earmark(spec) if spec.gpus else ():
+            machine.is_unschedulable = machine.earmarked_for_gang = True
+            if machine.owner != self.ctx.me and machine.task_count == 0:
+                self._request_machine(machine)
+
+    def _stop_attempt(self, name: JobId, job: JobRecord) -> None:
+        """Stop the rest of a gang that lost a task; its next attempt needs them all gone."""
         attempt = job.entries[0].attempt
-        if any(e.stage == PLACED for e in job.entries):
+        if any(entry.stage == PLACED for entry in job.entries):
             self.ctx.queue.propose(
                 Edit(
                     job_key(name),
@@ -546,7 +613,8 @@
                 )
             )
 
-    def _want(self, room: MachineCapacity) -> None:
-        if room.id not in self.requested_machines:
+    def _request_machine(self, machine: MachineCapacity) -> None:
+        """Ask a machine's owner to reserve it, for 2 s if the request is not repeated."""
+        if machine.id not in self.requested_machines:
             self.ctx.tell = True
-        self.requested_machines[room.id] = self.ctx.now + 2.0
+        self.requested_machines[machine.id] = self.ctx.now + 2.0
--- a/coursefold/coordination/owner_placement.py
+++ b/coursefold/coordination/owner_placement.py
@@ -1,25 +1,21 @@
 """An owner's choice of machines for the tasks that the leader has assigned to it."""
 
-
-
 import logging
 from collections.abc import Iterable
+
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
-from coursefold.coordination.placement import FailedSearches
-from coursefold.coordination.placement import MachineCapacity
-from coursefold.coordination.placement import PlacementSearch
-from coursefold.coordination.placement import RESOURCE_TOLERANCE
+from coursefold.coordination.placement import (
+    RESOURCE_TOLERANCE,
+    FailedSearches,
+    MachineCapacity,
+    PlacementSearch,
+)
 from coursefold.coordination.transitions import TransitionProposer
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
-from coursefold.storage.edits import LATER
-from coursefold.storage.edits import SOON
-from coursefold.storage.records import Entry
-from coursefold.storage.records import JobRecord
-from coursefold.storage.records import LIVE
-
-
+from coursefold.storage.edits import LATER, SOON
+from coursefold.storage.records import LIVE, Entry, JobRecord
 
 log = logging.getLogger(__name__)
 
@@ -33,8 +29,8 @@
         unplaced_since: By job and task: when an assigned task was first found to fit nowhere.
     """
 
-    def __init__(self, ctx: Context, steps: TransitionProposer) -> None:
-        self.ctx, self.steps = ctx, steps
+    def __init__(self, ctx: Context, transitions: TransitionProposer) -> None:
+        self.ctx, self.transitions = ctx, transitions
         self.unplaced_since: dict[tuple[str, int], float] = {}
 
     def place_assigned_tasks(self) -> None:
@@ -85,7 +81,7 @@
                 continue
             since = self.unplaced_since.setdefault((name, entry.index), ctx.now)
             if ctx.now - since > MAX_SEARCH_S:
-                self.steps.propose(name, "undeal", entry, f"undeal{entry.index}", rank=LATER)
+                self.transitions.propose(name, "undeal", entry, f"undeal{entry.index}", rank=LATER)
         for name, tasks in found.items():
             self.propose_placement(name, ctx.view.jobs[name], tasks)
 
@@ -125,5 +121,5 @@
             else:
                 log.debug("place %s on %s: %s", name, places, why)
 
-        step = jobs.TaskTransition("place", tuple(tasks), ctx.me)
-        self.steps.write(name, step, "", SOON, on_settled)
+        transition = jobs.TaskTransition("place", tuple(tasks), ctx.me)
+        self.transitions.write(name, transition, "", SOON, on_settled)
