--- a/coursefold/coordination/ordering.py
+++ b/coursefold/coordination/ordering.py
@@ -27,7 +27,7 @@
         group: 0 for the highest priority, 1 within the team's guarantee or starved, 2 others.
         priority: Number of the priority; 0 is the most important.
         is_late: Whether the job can meet none of its objectives any more.
-        size: Tasks of a gang, waiting tasks of an array, or 0.
+        size: Tasks of a gang, waiting tasks of an array that is not old, or 0.
         slack_s: Seconds until the next latest start; 0 if there is none.
         minus_age_s: Seconds since the job might start, negated: the oldest first.
         name: The job's name, to make the order total.
--- a/coursefold/coordination/placement.py
+++ b/coursefold/coordination/placement.py
@@ -15,6 +15,7 @@
 # Penalties for a job that may use spot machines on an ordinary machine:
 NEEDED_ORDINARY_PENALTY_S = 40.0  # of a type that is the cheapest for a job without spot
 OTHER_ORDINARY_PENALTY_S = 8.0  # of any other type
+# Other penalties:
 LATE_FETCH_PENALTY_S = 20.0  # the image would be complete only after the latest start
 BLOCKED_ACCELERATORS_PENALTY_S = 60.0  # a task without accelerators waits this long instead
 EMPTY_MACHINE_PENALTY_S = 15.0  # fetch time accepted to keep an empty machine empty
@@ -46,7 +47,7 @@
         owner: The controller that commands the machine; empty while it boots.
         replica_usage: CPUs, accelerators and GB of tasks that end only on request.
         reserved_for_gang: Its owner keeps it free for a gang or a return, on the leader's request.
-        session: The worker's session, which changes when it restarts.
+        session: Number of the worker's session; a restarted worker has a higher one.
         spot: Whether the cloud may take the machine back.
         task_count: Tasks that have a place here.
         task_images_gb: Size of the image of each task here, by image name.
