--- a/coursefold/coordination/pools.py
+++ b/coursefold/coordination/pools.py
@@ -177,7 +177,12 @@
         error = target - size
         last, integral = self.pid_states.get(pool, (0.0, 0.0))
         result = compute_pid(
-            error, last, integral, self.gains, hold=booting, clamp=float(demand.slots_per_machine)
+            error,
+            last,
+            integral,
+            self.gains,
+            hold_integral=booting,
+            max_integral_output=float(demand.slots_per_machine),
         )
         self.pid_states[pool] = (error, result.integral)
         lost = self.inventory.loss_trackers.get(pool)
--- a/coursefold/coordination/queueing.py
+++ b/coursefold/coordination/queueing.py
@@ -1,81 +1,121 @@
-"""The M/M/c queue of Cioppino (sections 2.3 and 3.1): Erlang C and the optimum c*."""
+"""M/M/c queueing model (Cioppino, sections 2.3 and 3.1): Erlang C and the optimum c*.
+
+Times are in seconds and rates per second; any other unit of time works as well, as long as
+it is the same in all arguments.
+"""
 
 from typing import NamedTuple
 
-# The search ends by itself soon after λ/μ unless slots cost nothing; then here.
-SPARE_SLOTS = 1000
-SPARE_FACTOR = 2.0
+# Upper bound of the search for c*: the margin plus the factor times the offered load. It is
+# reached only if slots cost nothing; otherwise the search ends shortly above the load.
+SEARCH_MARGIN_SLOTS = 1000
+SEARCH_LOAD_FACTOR = 2.0
 
 
-def _blocked(load: float, servers: int, before: float) -> float:
-    """Erlang B for one more server, B(n) = aB(n-1) / (n + aB(n-1)).
+def _erlang_b(load: float, servers: int, previous: float) -> float:
+    """Return the Erlang B probability B(n) = aB(n-1) / (n + aB(n-1)), given B(n-1).
 
-    By this recurrence, since factorials and powers of the closed form overflow
-    long before a fleet gets large.
+    The closed form is not used because its factorials and powers overflow long before a
+    fleet gets large.
     """
-    return load * before / (servers + load * before)
+    return load * previous / (servers + load * previous)
 
 
 def erlang_c(servers: int, load: float) -> float:
-    """The chance that an arrival must wait, for `load` = λ/μ < servers."""
+    """Return the probability that an arrival has to wait.
+
+    Args:
+        servers: Number of servers c.
+        load: Offered load λ/μ. The result is 1 if it is not below `servers`.
+    """
     if load <= 0:
         return 0.0
     if servers <= load:
         return 1.0
-    blocked = 1.0
-    for n in range(1, servers + 1):
-        blocked = _blocked(load, n, blocked)
-    return _waiting(servers, load, blocked)
+    blocking = 1.0
+    for count in range(1, servers + 1):
+        blocking = _erlang_b(load, count, blocking)
+    return _erlang_c_from_b(servers, load, blocking)
 
 
-def _waiting(servers: int, load: float, blocked: float) -> float:
-    rho = load / servers
-    return blocked / (1 - rho + rho * blocked)
+def _erlang_c_from_b(servers: int, load: float, blocking: float) -> float:
+    """Return the Erlang C probability, given the Erlang B probability."""
+    utilization = load / servers
+    return blocking / (1 - utilization + utilization * blocking)
 
 
 class QueueMetrics(NamedTuple):
-    """Expectations of an M/M/c queue."""
+    """Expected values of an M/M/c queue.
+
+    Attributes:
+        mean_wait_s: E[W], wait of an arrival before its service begins.
+        mean_length: E[L], number of waiting arrivals.
+    """
 
     mean_wait_s: float
     mean_length: float
 
 
-def _expect(servers: int, load: float, rate: float, waiting: float) -> QueueMetrics:
-    rho = load / servers
-    return QueueMetrics(waiting / ((1 - rho) * servers * rate), waiting * rho / (1 - rho))
+def _metrics(
+    servers: int, load: float, service_rate: float, wait_probability: float
+) -> QueueMetrics:
+    utilization = load / servers
+    return QueueMetrics(
+        wait_probability / ((1 - utilization) * servers * service_rate),
+        wait_probability * utilization / (1 - utilization),
+    )
+
 
+def evaluate_queue(servers: int, arrival_rate: float, service_rate: float) -> QueueMetrics:
+    """Return E[W] (equation 1 of the paper) and E[L] of an M/M/c queue.
 
-def evaluate_queue(servers: int, arrivals: float, rate: float) -> QueueMetrics:
-    """E[W] (paper's eq. 1) and E[L], for arrivals/rate < servers."""
-    load = arrivals / rate
-    return _expect(servers, load, rate, erlang_c(servers, load))
+    Args:
+        servers: Number of servers c; has to be above `arrival_rate / service_rate`.
+        arrival_rate: λ, arrivals per second.
+        service_rate: μ, services per second of one server.
+    """
+    load = arrival_rate / service_rate
+    return _metrics(servers, load, service_rate, erlang_c(servers, load))
 
 
 def find_optimal_servers(
-    arrivals: float, rate: float, price: float, eta: float, batch: float = 1.0
+    arrival_rate: float,
+    service_rate: float,
+    price: float,
+    eta: float,
+    batch_factor: float = 1.0,
 ) -> int:
-    """c* = argmin over c > λ/μ of η·E[W] + (1-η)·E[Cost]; the sum is convex in c.
+    """Return c* = argmin over c > λ/μ of η·E[W] + (1-η)·E[Cost]; the sum is convex in c.
+
+    The Erlang B recurrence continues from one c to the next, so that the search costs about
+    as much as one evaluation at c*, also for thousands of slots.
 
-    `batch` is by how much arrivals in lumps lengthen the wait: 1 for single tasks.
+    Args:
+        arrival_rate: λ, slots requested per second.
+        service_rate: μ, services per second of one slot.
+        price: Price of one slot per second.
+        eta: η, weight of the wait against the cost, between 0 and 1.
+        batch_factor: Factor by which arrivals of several slots at once lengthen the wait;
+            1 if they come one by one.
 
-    The recurrence goes on from one c to the next, so the search costs about as
-    much as a single evaluation, also for thousands of slots.
+    Returns:
+        The optimal number of slots; 0 without arrivals.
     """
-    if arrivals <= 0 or rate <= 0:
+    if arrival_rate <= 0 or service_rate <= 0:
         return 0
-    load = arrivals / rate
-    most = SPARE_SLOTS + int(SPARE_FACTOR * load)
-    best = float("inf")
-    blocked = 1.0
-    for servers in range(1, most):
-        blocked = _blocked(load, servers, blocked)
+    load = arrival_rate / service_rate
+    max_servers = SEARCH_MARGIN_SLOTS + int(SEARCH_LOAD_FACTOR * load)
+    lowest = float("inf")
+    blocking = 1.0
+    for servers in range(1, max_servers):
+        blocking = _erlang_b(load, servers, blocking)
         if servers <= load:
             continue
-        queue = _expect(servers, load, rate, _waiting(servers, load, blocked))
-        total = eta * batch * queue.mean_wait_s + (1 - eta) * price * max(
+        queue = _metrics(servers, load, service_rate, _erlang_c_from_b(servers, load, blocking))
+        total = eta * batch_factor * queue.mean_wait_s + (1 - eta) * price * max(
             0.0, servers - queue.mean_length
         )
-        if total >= best:
+        if total >= lowest:
             return servers - 1
-        best = total
-    return most
+        lowest = total
+    return max_servers
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -110,7 +110,7 @@
 
 def test_arrivals_in_lumps_make_a_larger_pool() -> None:
     single = find_optimal_servers(0.5, 1 / 60, 0.0007, 0.0005)
-    assert find_optimal_servers(0.5, 1 / 60, 0.0007, 0.0005, batch=20.0) > single
+    assert find_optimal_servers(0.5, 1 / 60, 0.0007, 0.0005, batch_factor=20.0) > single
 
 
 def test_replicas_wait_for_the_first_machines_of_their_type() -> None:
