--- a/coursefold/coordination/demand.py
+++ b/coursefold/coordination/demand.py
@@ -1,8 +1,8 @@
-"""How many slots each pool should have: λ, μ, c* and its raises.
+"""Demand for each pool: arrival rate λ, service rate μ, and the target size c* in slots.
 
-A pool is alike machines: one type, ordinary or spot. A slot is one
-accelerator's share of a machine (one core's, where it has none); a task takes
-as many slots as its largest share of the machine is worth.
+A pool consists of machines of one type, either spot or ordinary. A slot is one accelerator's
+share of a machine, or one CPU's share where the machine has no accelerators. A task takes
+as many slots as the share of the machine that it needs is worth.
 """
 
 from collections import deque
@@ -23,15 +23,15 @@
 from coursefold.coordination.queueing import find_optimal_servers
 from coursefold.protocol.wire import Catalog, Job, MachineType
 
-RELIEF_S = 30.0
-HISTORY_S = 1800.0
+MAX_RELIEF_WAIT_S = 30.0  # see DemandPlanner._count_relieved
+RUN_TIME_WINDOW_S = 1800.0
 DEFAULT_RUN_S = 60.0
-PATIENT_S = 10.0
+ZONE_GROWTH_DELAY_S = 10.0  # wait after which free slots in other zones no longer count
 MIN_RUN_S = 1.0
 
 
 class PoolId(NamedTuple):
-    """Alike machines: one type, ordinary or spot."""
+    """Machines of one type, either spot or ordinary."""
 
     machine_type: str
     spot: bool
@@ -40,50 +40,63 @@
         return f"{self.machine_type}/{'spot' if self.spot else 'ordinary'}"
 
 
-def slots_of_machine(kind: MachineType) -> int:
-    """Slots of one machine."""
-    return max(1, round(kind.gpus or kind.cpus))
+def slots_of_machine(type_info: MachineType) -> int:
+    """Return the number of slots of one machine."""
+    return max(1, round(type_info.gpus or type_info.cpus))
 
 
-def slots_of_task(spec: Job, kind: MachineType) -> float:
-    """Slots that a task takes."""
-    return share(spec, kind) * slots_of_machine(kind)
+def slots_of_task(spec: Job, type_info: MachineType) -> float:
+    """Return the number of slots that one task of the job takes on a machine of the type."""
+    return share(spec, type_info) * slots_of_machine(type_info)
 
 
 class RunTimes:
-    """Mean time on a machine by class, from tasks finished in the last 30 minutes."""
+    """Mean run times by job class, from the tasks that finished in the last 30 minutes."""
 
     def __init__(self) -> None:
+        # By job class: when a task finished, and for how long it was on its machine.
         self.samples: dict[str, deque[tuple[float, float]]] = {}
         self.cached_means_s: dict[str, float] = {}
         self.cached_at = 0.0
 
-    def add(self, lane: str, seconds: float, now: float) -> None:
-        """Note how long a task of a class was on its machine."""
-        self.samples.setdefault(lane, deque(maxlen=200)).append((now, seconds))
-        self.cached_means_s.pop(lane, None)
+    def add(self, job_class: str, run_s: float, now: float) -> None:
+        """Record for how long a task of the class was on its machine."""
+        self.samples.setdefault(job_class, deque(maxlen=200)).append((now, run_s))
+        self.cached_means_s.pop(job_class, None)
 
     def mean_run_s(self, spec: Job, now: float) -> float:
-        """The measured mean, or the owner's estimate if no task finished yet."""
+        """Return the mean of the job's class.
+
+        Returns the estimate of the job's owner while no task of the class has finished, or
+        DEFAULT_RUN_S without an estimate.
+        """
         if now - self.cached_at > 30.0:
             self.cached_means_s.clear()
             self.cached_at = now
-        found = self.cached_means_s.get(spec.lane)
-        if found is not None:
-            return found
-        seen = self.samples.get(spec.lane)
-        while seen and seen[0][0] < now - HISTORY_S:
-            seen.popleft()
-        if seen:
-            mean = self.cached_means_s[spec.lane] = max(
-                MIN_RUN_S, sum(s for _, s in seen) / len(seen)
+        cached_s = self.cached_means_s.get(spec.lane)
+        if cached_s is not None:
+            return cached_s
+        samples = self.samples.get(spec.lane)
+        while samples and samples[0][0] < now - RUN_TIME_WINDOW_S:
+            samples.popleft()
+        if samples:
+            mean_s = self.cached_means_s[spec.lane] = max(
+                MIN_RUN_S, sum(run_s for _, run_s in samples) / len(samples)
             )
-            return mean
+            return mean_s
         return max(MIN_RUN_S, spec.estimate or DEFAULT_RUN_S)
 
 
 class UnplacedTasks(NamedTuple):
-    """Unplaced tasks of one job, and the seconds they may still wait for their aims."""
+    """Tasks of one job that wait for a machine.
+
+    Attributes:
+        spec: Job description.
+        task_count: Number of tasks without a machine.
+        tasks_by_zone: Number of the job's tasks that have a machine, by zone.
+        slack_s: Time that the tasks may still wait without missing an objective.
+        age_s: Time since the job could have started.
+    """
 
     spec: Job
     task_count: int
@@ -93,13 +106,36 @@
 
 
 class PoolDemand:
-    """What one pool is asked for, in slots."""
-
-    def __init__(self, kind: MachineType, spot: bool, window: float) -> None:
-        self.type_info, self.spot, self.window_s = kind, spot, window
-        self.slots_per_machine = slots_of_machine(kind)
+    """What jobs need of one pool, in slots.
+
+    Attributes:
+        type_info: Machine type of the pool.
+        spot: Whether the pool consists of spot machines.
+        window_s: Length of the window in which arrivals are counted.
+        slots_per_machine: Slots of one machine.
+        arrived_slots: Slots of the tasks that arrived in the window.
+        sum_squared_arrivals: Sum of the squared slots of each arrival.
+        arrived_slot_s: Expected run times of the arrivals, times their slots.
+        busy_slots: Slots of the tasks that have a machine.
+        batch_slots: The part of `busy_slots` whose tasks end by themselves.
+        batch_slot_s: Expected run times of these tasks, times their slots.
+        claimed_slots: The part of `batch_slots` that becomes free in time for waiting tasks.
+        standing_slots: Slots of replicas, which do not end by themselves, placed or not.
+        queued_slots: Slots of waiting tasks that fit machines which are up or booting, and
+            of all waiting replicas.
+        backlog_slots: Slots of other waiting tasks, for which machines have to be rented.
+        gang_slots: Slots that gangs lack.
+        zone_bound_slots: Slots that gangs and jobs bound to one zone have lacked for longer
+            than ZONE_GROWTH_DELAY_S.
+        slots_by_zone: Slots to be rented in particular zones.
+        machine_count: Machines that are up, will be up soon, or are being requested.
+    """
+
+    def __init__(self, type_info: MachineType, spot: bool, window_s: float) -> None:
+        self.type_info, self.spot, self.window_s = type_info, spot, window_s
+        self.slots_per_machine = slots_of_machine(type_info)
         self.arrived_slots = 0.0
-        self.arrived_slots_squared = 0.0
+        self.sum_squared_arrivals = 0.0
         self.arrived_slot_s = 0.0
         self.busy_slots = 0.0
         self.batch_slots = 0.0
@@ -116,7 +152,7 @@
 
     @property
     def price_per_slot_s(self) -> float:
-        """Per slot and second."""
+        """Price of one slot per second."""
         return (
             (self.type_info.spot_price if self.spot else self.type_info.price)
             / 3600.0
@@ -125,259 +161,310 @@
 
     @property
     def mean_batch_run_s(self) -> float:
-        """Mean time of the tasks in place."""
+        """Mean run time of the placed tasks that end by themselves, weighted by slots."""
         return self.batch_slot_s / self.batch_slots if self.batch_slots else DEFAULT_RUN_S
 
     @property
     def mean_run_s(self) -> float:
-        """Mean time that an arrival takes a slot, 1/μ."""
+        """Mean time for which an arrival takes a slot, 1/μ."""
         return self.arrived_slot_s / self.arrived_slots if self.arrived_slots else DEFAULT_RUN_S
 
     @property
     def batch_factor(self) -> float:
-        """(1 + E[X²]/E[X]) / 2 for arrivals of X slots at once.
+        """Factor (1 + E[X²]/E[X]) / 2 by which arrivals of X slots at once lengthen the wait.
 
-        The second moment's part in the wait of M^[X]/M/c queues: in a lump of X, a slot
-        finds half the others of its lump before it, besides what waits already.
+        This is the part of the second moment in the wait of M^[X]/M/c queues: besides what
+        already waits, a slot has on average half of the others of its batch before it.
         """
         return (
-            max(1.0, (1.0 + self.arrived_slots_squared / self.arrived_slots) / 2)
+            max(1.0, (1.0 + self.sum_squared_arrivals / self.arrived_slots) / 2)
             if self.arrived_slots
             else 1.0
         )
 
     def target_slots(self, eta: float) -> float:
-        """c*: the optimum of cost against wait, and the raises."""
-        rate = self.arrived_slots / self.window_s
-        base = 0.0
-        if rate:
-            base = float(
+        """Return the target size: c*, raised to what placed and waiting tasks need.
+
+        Args:
+            eta: Weight of the wait against the cost, between 0 and 1.
+        """
+        arrival_rate = self.arrived_slots / self.window_s
+        optimum = 0.0
+        if arrival_rate:
+            optimum = float(
                 find_optimal_servers(
-                    rate, 1 / self.mean_run_s, self.price_per_slot_s, eta, self.batch_factor
+                    arrival_rate,
+                    1 / self.mean_run_s,
+                    self.price_per_slot_s,
+                    eta,
+                    self.batch_factor,
                 )
             )
-        raised = self.busy_slots + self.queued_slots + max(self.backlog_slots, self.gang_slots)
+        needed = self.busy_slots + self.queued_slots + max(self.backlog_slots, self.gang_slots)
         if self.zone_bound_slots:
-            # A gang, or a job bound to a zone, has waited for room of one zone: what is free,
-            # half a machine here and a whole one in another zone, does not help it, so the
-            # pool grows from its size.
-            raised = max(
-                raised, self.machine_count * self.slots_per_machine + self.zone_bound_slots
+            # A gang, or a job bound to a zone, needs capacity in one zone. Free slots do not
+            # help it if they are half a machine here and a whole one in another zone, so the
+            # pool grows from its present size.
+            needed = max(
+                needed, self.machine_count * self.slots_per_machine + self.zone_bound_slots
             )
-        return max(base + self.standing_slots, raised)
+        return max(optimum + self.standing_slots, needed)
+
 
+def effective_price(
+    spec: Job, type_info: MachineType, spot: bool, run_s: float, losses_per_s: float
+) -> float:
+    """Return the hourly price of one task, with its share of boot, image fetch and lost work.
 
-def effective_price(spec: Job, kind: MachineType, spot: bool, run: float, loss: float) -> float:
-    """Price of one task's run, with its boot, its fetch and what a loss repeats."""
-    hourly = kind.spot_price if spot else kind.price
-    fetch = spec.image_gb / kind.fetch if kind.fetch else 0.0
-    lost = loss * (min(spec.checkpoint, run) if spec.checkpoint else run)
-    overhead = 1.0 + (fetch + 0.3 * kind.boot) / max(run, 10.0) + lost
-    return hourly * share(spec, kind) * overhead
+    Args:
+        spec: Job of the task.
+        type_info: Machine type on which the task runs.
+        spot: Whether the machine is a spot machine.
+        run_s: Mean run time of the task.
+        losses_per_s: Rate of losses; a loss repeats the work since the last checkpoint.
+    """
+    hourly = type_info.spot_price if spot else type_info.price
+    fetch_s = spec.image_gb / type_info.fetch if type_info.fetch else 0.0
+    repeated_share = losses_per_s * (min(spec.checkpoint, run_s) if spec.checkpoint else run_s)
+    overhead_factor = 1.0 + (fetch_s + 0.3 * type_info.boot) / max(run_s, 10.0) + repeated_share
+    return hourly * share(spec, type_info) * overhead_factor
 
 
 class DemandPlanner:
-    """Spreads demand over pools, the cheapest first, for one moment."""
+    """Distributes the demand of one moment over the pools, the cheapest first.
+
+    Attributes:
+        pools: Demand for each pool of the catalog.
+        blocked_until: Places where the cloud had no capacity, and until when none is asked for.
+        loss_rates: Machines lost per second, by pool.
+    """
 
     def __init__(
         self,
         catalog: Catalog,
-        runs: RunTimes,
+        run_times: RunTimes,
         now: float,
-        blocked: dict[Place, float],
-        losses: dict[PoolId, float],
-        window: float,
-        market: Market = NO_MARKET,
+        blocked_until: dict[Place, float],
+        loss_rates: dict[PoolId, float],
+        window_s: float,
+        price_index: Market = NO_MARKET,
     ) -> None:
-        self.window_s, self.market = window, market
+        self.window_s, self.price_index = window_s, price_index
         self.refused = Refused()
-        self.catalog, self.run_times, self.now = catalog, runs, now
-        self.blocked_until, self.loss_rates = blocked, losses
+        self.catalog, self.run_times, self.now = catalog, run_times, now
+        self.blocked_until, self.loss_rates = blocked_until, loss_rates
         self.pools = {
-            PoolId(kind.name, spot): PoolDemand(kind, spot, window)
-            for kind in catalog.builds
+            PoolId(type_info.name, spot): PoolDemand(type_info, spot, window_s)
+            for type_info in catalog.builds
             for spot in (False, True)
         }
 
-    def _leftover(self, spec: Job, kind: MachineType) -> bool:
-        """A task without accelerators on a machine that is rented for those with them.
+    def _uses_leftovers(self, spec: Job, type_info: MachineType) -> bool:
+        """Return whether the job needs no accelerators but the type is rented for their sake.
 
-        It fills what they leave over, so it neither counts as use of the machine nor asks
-        for more of them, but for what finds no room at all.
+        Such a task uses what tasks with accelerators leave free. It neither counts as use of
+        the machine nor makes the pool grow, unless it finds no free capacity at all.
         """
-        return not spec.gpus and kind.gpus > 0 and bool(self.market.accelerated)
+        return not spec.gpus and type_info.gpus > 0 and bool(self.price_index.accelerated)
 
     def eligible_pools(self, spec: Job) -> list[PoolId]:
-        """Pools that the job allows, cheapest first."""
-        run = self.run_times.mean_run_s(spec, self.now) if spec.shape != "standing" else 600.0
-        found = []
+        """Return the pools that the job may use, the cheapest first."""
+        run_s = self.run_times.mean_run_s(spec, self.now) if spec.shape != "standing" else 600.0
+        priced = []
         for pool, demand in self.pools.items():
             if fits_type(spec, demand.type_info) and (spec.spot or not pool.spot):
-                loss = self.loss_rates.get(pool, 0.0)
-                price = effective_price(spec, demand.type_info, pool.spot, run, loss)
-                found.append((price + self.market.displaced(spec, demand.type_info), pool))
-        return [pool for _, pool in sorted(found)]
+                loss_rate = self.loss_rates.get(pool, 0.0)
+                price = effective_price(spec, demand.type_info, pool.spot, run_s, loss_rate)
+                priced.append((price + self.price_index.displaced(spec, demand.type_info), pool))
+        return [pool for _, pool in sorted(priced)]
 
     def open_zones(self, pool: PoolId, spec: Job) -> list[str]:
-        """Zones where the pool could still grow for this job."""
+        """Return the zones where machines of the pool can be rented for this job."""
         zones = self.pools[pool].type_info.zones if spec.zone is None else [spec.zone]
         return [
-            z
-            for z in zones
-            if self.blocked_until.get(Place(pool.machine_type, z, pool.spot), 0.0) <= self.now
+            zone
+            for zone in zones
+            if self.blocked_until.get(Place(pool.machine_type, zone, pool.spot), 0.0) <= self.now
         ]
 
-    def count_arrival(self, spec: Job, tasks: int) -> None:
-        """Count an arrival of the window; a pool that cannot grow takes what it has."""
+    def count_arrival(self, spec: Job, task_count: int) -> None:
+        """Count a job that arrived in the window.
+
+        A pool that cannot grow is counted only for as much as its machines can serve in the
+        window; the rest goes to the next cheapest pool. Replicas are no arrivals, since they
+        do not end by themselves.
+        """
         if spec.shape == "standing":
             return
-        run = self.run_times.mean_run_s(spec, self.now)
-        left = float(tasks)
-        choices = self.eligible_pools(spec)
-        for at, pool in enumerate(choices):
+        run_s = self.run_times.mean_run_s(spec, self.now)
+        remaining = float(task_count)
+        pools = self.eligible_pools(spec)
+        for index, pool in enumerate(pools):
             demand = self.pools[pool]
-            if self._leftover(spec, demand.type_info):
+            if self._uses_leftovers(spec, demand.type_info):
                 return
-            w = slots_of_task(spec, demand.type_info)
-            take = left
-            if not self.open_zones(pool, spec) and at + 1 < len(choices):
-                able = (
-                    demand.machine_count * demand.slots_per_machine * self.window_s / max(run, 1.0)
+            task_slots = slots_of_task(spec, demand.type_info)
+            counted = remaining
+            if not self.open_zones(pool, spec) and index + 1 < len(pools):
+                servable_slots = (
+                    demand.machine_count
+                    * demand.slots_per_machine
+                    * self.window_s
+                    / max(run_s, 1.0)
                 )
-                take = min(left, max(0.0, able - demand.arrived_slots) / w)
-            demand.arrived_slots += take * w
-            demand.arrived_slots_squared += (take * w) ** 2
-            demand.arrived_slot_s += take * w * run
-            left -= take
-            if left <= 0:
+                counted = min(
+                    remaining, max(0.0, servable_slots - demand.arrived_slots) / task_slots
+                )
+            demand.arrived_slots += counted * task_slots
+            demand.sum_squared_arrivals += (counted * task_slots) ** 2
+            demand.arrived_slot_s += counted * task_slots * run_s
+            remaining -= counted
+            if remaining <= 0:
                 return
 
     def count_running(self, spec: Job, pool: PoolId) -> None:
-        """Count a task that has a place in the pool."""
+        """Count a task that has a machine of the pool."""
         demand = self.pools.get(pool)
-        if demand is None or self._leftover(spec, demand.type_info):
+        if demand is None or self._uses_leftovers(spec, demand.type_info):
             return
-        w = slots_of_task(spec, demand.type_info)
-        demand.busy_slots += w
+        task_slots = slots_of_task(spec, demand.type_info)
+        demand.busy_slots += task_slots
         if spec.shape == "standing":
-            demand.standing_slots += w
+            demand.standing_slots += task_slots
         else:
-            demand.batch_slots += w
-            demand.batch_slot_s += w * self.run_times.mean_run_s(spec, self.now)
-
-    def pack_waiting(self, needs: Iterable[UnplacedTasks], rooms: list[Room]) -> None:
-        """Waiting tasks take the free and the booting room first; the rest asks for more."""
-        floor = gangs.Floor(r for r in rooms if not r.lent)
-        for need in needs:
-            spec = need.spec
-            if spec.shape == "ensemble" and need.task_count > 1:
-                self._pack_gang(need, floor)
+            demand.batch_slots += task_slots
+            demand.batch_slot_s += task_slots * self.run_times.mean_run_s(spec, self.now)
+
+    def pack_waiting(self, unplaced_jobs: Iterable[UnplacedTasks], capacities: list[Room]) -> None:
+        """Count waiting tasks: first on free and booting machines, the rest as growth.
+
+        Args:
+            unplaced_jobs: Waiting tasks in queue order.
+            capacities: Machines that are up or booting; what the tasks take is reserved there.
+        """
+        gang_capacity = gangs.Floor(capacity for capacity in capacities if not capacity.lent)
+        for unplaced in unplaced_jobs:
+            spec = unplaced.spec
+            if spec.shape == "ensemble" and unplaced.task_count > 1:
+                self._pack_gang(unplaced, gang_capacity)
                 continue
-            zones = dict(need.tasks_by_zone)
-            picker = (
+            tasks_by_zone = dict(unplaced.tasks_by_zone)
+            search = (
                 None
                 if self.refused.covers(spec)
-                else Picker(spec, rooms, zones, market=self.market)
+                else Picker(spec, capacities, tasks_by_zone, market=self.price_index)
             )
-            for done in range(need.task_count):
-                room = picker.take() if picker else None
-                if room is None:
+            for placed_count in range(unplaced.task_count):
+                capacity = search.take() if search else None
+                if capacity is None:
                     if not (spec.apart or spec.together):
                         self.refused.add(spec)
-                    left = need.task_count - done
-                    left -= self._relieved(need, left)
-                    if left > 0:
-                        self._grow(need, left, zones)
+                    remaining = unplaced.task_count - placed_count
+                    remaining -= self._count_relieved(unplaced, remaining)
+                    if remaining > 0:
+                        self._request_growth(unplaced, remaining, tasks_by_zone)
                     break
-                self._queue(spec, PoolId(room.kind.name, room.spot))
+                self._count_queued(spec, PoolId(capacity.kind.name, capacity.spot))
 
-    def _relieved(self, need: UnplacedTasks, tasks: int) -> int:
-        """Waiting tasks that busy slots will have room for in time anyway.
+    def _count_relieved(self, unplaced: UnplacedTasks, task_count: int) -> int:
+        """Return how many waiting tasks need no new machine: busy slots become free in time.
 
-        "In time" is half a minute, or what the job's aims leave; but never less than
-        a new machine takes to boot, for that could not help sooner. With a whole
-        window, arrays that had slack used it up here and were late for the rest.
+        "In time" means within the job's slack and MAX_RELIEF_WAIT_S, but no less than the boot
+        time of a new machine, which could not help any sooner. With the whole window instead
+        of MAX_RELIEF_WAIT_S, arrays use up their slack in this wait and end late.
         """
-        spec = need.spec
+        spec = unplaced.spec
         if spec.shape == "standing":
             return 0
-        found = 0
+        relieved = 0
         for pool in self.eligible_pools(spec):
             demand = self.pools[pool]
-            horizon = max(demand.type_info.boot, min(need.slack_s, RELIEF_S))
-            w = slots_of_task(spec, demand.type_info)
-            freed = demand.batch_slots * min(1.0, horizon / max(demand.mean_batch_run_s, 1.0))
-            take = min(tasks - found, int((freed - demand.claimed_slots) / w))
-            if take > 0:
-                demand.claimed_slots += take * w
-                found += take
-        return found
-
-    def _queue(self, spec: Job, pool: PoolId) -> None:
+            horizon_s = max(demand.type_info.boot, min(unplaced.slack_s, MAX_RELIEF_WAIT_S))
+            task_slots = slots_of_task(spec, demand.type_info)
+            freed_slots = demand.batch_slots * min(
+                1.0, horizon_s / max(demand.mean_batch_run_s, 1.0)
+            )
+            count = min(
+                task_count - relieved, int((freed_slots - demand.claimed_slots) / task_slots)
+            )
+            if count > 0:
+                demand.claimed_slots += count * task_slots
+                relieved += count
+        return relieved
+
+    def _count_queued(self, spec: Job, pool: PoolId) -> None:
+        """Count a waiting task for which the pool has capacity now or after a boot."""
         demand = self.pools[pool]
-        if self._leftover(spec, demand.type_info):
+        if self._uses_leftovers(spec, demand.type_info):
             return
-        w = slots_of_task(spec, demand.type_info)
-        demand.queued_slots += w
+        task_slots = slots_of_task(spec, demand.type_info)
+        demand.queued_slots += task_slots
         if spec.shape == "standing":
-            demand.standing_slots += w
+            demand.standing_slots += task_slots
+
+    def _pack_gang(self, unplaced: UnplacedTasks, gang_capacity: gangs.Floor) -> None:
+        """Count a waiting gang: on free and booting machines if all of it fits there.
 
-    def _pack_gang(self, need: UnplacedTasks, floor: gangs.Floor) -> None:
-        rooms = floor.holding(need.spec)
-        plan = gangs.fill(need.spec, rooms, self.market)
+        Otherwise the cheapest pool that can grow is to have enough machines for it in one
+        zone, the one that has most of them already.
+        """
+        capacities = gang_capacity.holding(unplaced.spec)
+        plan = gangs.fill(unplaced.spec, capacities, self.price_index)
         if plan is not None:
-            for room in plan:
-                room.take(need.spec)
-                self._queue(need.spec, PoolId(room.kind.name, room.spot))
+            for capacity in plan:
+                capacity.take(unplaced.spec)
+                self._count_queued(unplaced.spec, PoolId(capacity.kind.name, capacity.spot))
             return
-        for pool in self.eligible_pools(need.spec):
-            open_zones = self.open_zones(pool, need.spec)
+        for pool in self.eligible_pools(unplaced.spec):
+            open_zones = self.open_zones(pool, unplaced.spec)
             if not open_zones:
                 continue
-            have = {
-                z: sum(1 for r in rooms if r.zone == z and (r.kind.name, r.spot) == pool)
-                for z in open_zones
+            usable_by_zone = {
+                zone: sum(1 for r in capacities if r.zone == zone and (r.kind.name, r.spot) == pool)
+                for zone in open_zones
             }
-            zone = max(open_zones, key=lambda z: (have[z], z))
+            zone = max(open_zones, key=lambda z: (usable_by_zone[z], z))
             demand = self.pools[pool]
-            w = slots_of_task(need.spec, demand.type_info)
-            # What the zone has free is kept for the gang; the rest has to be rented.
-            kept = min(have[zone], need.task_count)
-            for room in rooms:
-                if not kept:
+            task_slots = slots_of_task(unplaced.spec, demand.type_info)
+            # What is free in the zone is reserved for the gang; the rest has to be rented.
+            to_reserve = min(usable_by_zone[zone], unplaced.task_count)
+            for capacity in capacities:
+                if not to_reserve:
                     break
-                if room.zone == zone:
-                    room.take(need.spec)
-                    self._queue(need.spec, PoolId(room.kind.name, room.spot))
-                    kept -= 1
-            short = need.task_count - min(have[zone], need.task_count)
-            demand.gang_slots += short * w
-            if need.age_s > PATIENT_S:
-                demand.zone_bound_slots += short * w
-            demand.slots_by_zone[zone] = demand.slots_by_zone.get(zone, 0.0) + short * w
+                if capacity.zone == zone:
+                    capacity.take(unplaced.spec)
+                    self._count_queued(unplaced.spec, PoolId(capacity.kind.name, capacity.spot))
+                    to_reserve -= 1
+            missing = unplaced.task_count - min(usable_by_zone[zone], unplaced.task_count)
+            demand.gang_slots += missing * task_slots
+            if unplaced.age_s > ZONE_GROWTH_DELAY_S:
+                demand.zone_bound_slots += missing * task_slots
+            demand.slots_by_zone[zone] = demand.slots_by_zone.get(zone, 0.0) + missing * task_slots
             return
 
-    def _grow(self, need: UnplacedTasks, tasks: int, zones: dict[str, int]) -> None:
-        """Ask the cheapest pool that can still grow; none can: the task just waits."""
-        spec = need.spec
+    def _request_growth(
+        self, unplaced: UnplacedTasks, task_count: int, tasks_by_zone: dict[str, int]
+    ) -> None:
+        """Count tasks as demand of the cheapest pool that can grow; without one they only wait."""
+        spec = unplaced.spec
         for pool in self.eligible_pools(spec):
             open_zones = self.open_zones(pool, spec)
-            if spec.together and zones:
-                open_zones = [z for z in open_zones if z in zones]
+            if spec.together and tasks_by_zone:
+                open_zones = [zone for zone in open_zones if zone in tasks_by_zone]
             if not open_zones:
                 continue
             demand = self.pools[pool]
-            w = slots_of_task(spec, demand.type_info)
-            for _ in range(tasks):
+            task_slots = slots_of_task(spec, demand.type_info)
+            for _ in range(task_count):
                 if spec.apart or spec.zone is not None:
-                    zone = min(open_zones, key=lambda z: (zones.get(z, 0), z))
-                    zones[zone] = zones.get(zone, 0) + 1
-                    demand.slots_by_zone[zone] = demand.slots_by_zone.get(zone, 0.0) + w
-                if spec.zone is not None and need.age_s > PATIENT_S:
-                    demand.zone_bound_slots += w
+                    zone = min(open_zones, key=lambda z: (tasks_by_zone.get(z, 0), z))
+                    tasks_by_zone[zone] = tasks_by_zone.get(zone, 0) + 1
+                    demand.slots_by_zone[zone] = demand.slots_by_zone.get(zone, 0.0) + task_slots
+                if spec.zone is not None and unplaced.age_s > ZONE_GROWTH_DELAY_S:
+                    demand.zone_bound_slots += task_slots
                 if spec.shape == "standing":
-                    demand.standing_slots += w
-                    demand.queued_slots += w
+                    demand.standing_slots += task_slots
+                    demand.queued_slots += task_slots
                 else:
-                    demand.backlog_slots += w
+                    demand.backlog_slots += task_slots
             return
