--- a/coursefold/coordination/demand.py
+++ b/coursefold/coordination/demand.py
@@ -235,7 +235,7 @@
 
     Attributes:
         pools: Demand for each pool of the catalog.
-        blocked_until: Places where the cloud had no capacity, and until when none is asked for.
+        blocked_until: Offerings without capacity, and until when none of them is requested.
         loss_rates: Machines lost per second, by pool.
     """
 
--- a/coursefold/coordination/rentals.py
+++ b/coursefold/coordination/rentals.py
@@ -1,7 +1,8 @@
-"""Rental requests: recorded before they are sent, and repeated under the same name.
+"""Rental requests: recorded in the state service, then sent to the cloud until answered.
 
-A name is never used again, so that a successor repeats a request instead of renting twice.
-Where the cloud has no capacity it is asked elsewhere for a while.
+The cloud gives the same answer to each request of one name, and a name is never reused. So
+the next leader can repeat a recorded request without renting twice. Where the cloud has no
+capacity, nothing is requested for a while, so that other zones and types are tried.
 """
 
 import logging
@@ -26,150 +27,170 @@
 
 log = logging.getLogger(__name__)
 
-MACHINES_PER_REQUEST = 50  # by the protocol
-REFUSED_PAUSE_S = 12.0
-LONGEST_REFUSED_PAUSES = 4
-ANSWER_KEPT_S = 60.0  # the cloud's list shows the machines by then
-LISTS_TO_TRUST = 3  # read before a new leader needs no old answers
-RECORD_RESERVE = 200  # bytes
+MAX_MACHINES_PER_REQUEST = 50  # limit of the cloud's API
+REFUSED_PAUSE_S = 12.0  # after a first refusal; the pause grows by as much with each further one
+MAX_REFUSED_PAUSES = 4
+RESPONSE_RETENTION_S = 60.0  # by then the cloud's list shows the rented machines
+LISTS_BEFORE_TRUST = 3  # machine lists that a new leader reads before it ignores old responses
+RECORD_RESERVE_BYTES = 200
 
 
 def parse_pool_key(key: str) -> PoolId:
-    """The pool that a record's name means."""
-    build, _, kind = key.partition("/")
-    return PoolId(build, kind == "spot")
+    """Return the pool that a record's key denotes: `TYPE/spot` or `TYPE/ordinary`."""
+    machine_type, _, kind = key.partition("/")
+    return PoolId(machine_type, kind == "spot")
 
 
 class RentalManager:
-    """The rental requests of this leader and of those before it."""
+    """Rental requests of this leader and of former ones.
+
+    Attributes:
+        last_number: Number of the last request of this process. It is never reset, because
+            request names consist of fencing token and number, and one process may lead twice
+            under the same token.
+        blocked_until: Offerings without capacity, and until when none of them is requested.
+        refusal_counts: Refusals by offering since the cloud last filled a whole request for it.
+        in_flight: Names of requests that were sent and have no response.
+        answered: Names of requests whose response came under the present fencing token.
+    """
 
     def __init__(self, ctx: Context, cloud: CloudClient, inventory: Inventory) -> None:
         self.ctx = ctx
         self.cloud = cloud
         self.inventory = inventory
-        # Never set back: a hire's name is its token and this count, and the same
-        # process may lead twice under one token.
         self.last_number = 0
         self.reset()
 
     def reset(self) -> None:
-        """Begin anew, as a new leader does."""
+        """Forget blocked offerings and all requests, as a new leader does."""
         self.blocked_until: dict[Place, float] = {}
         self.refusal_counts: dict[Place, int] = {}
         self.begin_term()
 
     def begin_term(self) -> None:
-        """A new fencing token: nothing was asked for or answered under it."""
+        """Forget which requests were sent or answered, at the start under a new fencing token."""
         self.in_flight: set[str] = set()
         self.answered: set[str] = set()
 
-    def is_blocked(self, place: Place) -> bool:
-        """Was the cloud out of such machines a moment ago?"""
-        return self.blocked_until.get(place, 0.0) > self.ctx.now
+    def is_blocked(self, offering: Place) -> bool:
+        """Return whether the cloud recently had no capacity for the offering."""
+        return self.blocked_until.get(offering, 0.0) > self.ctx.now
 
     def has_pending_write(self, pool: PoolId) -> bool:
-        """Is a change of the pool's record under way?"""
+        """Return whether a change of the pool's record is not committed yet."""
         return self.ctx.queue.busy(pool_key(str(pool)))
 
     def rent(self, pool: PoolId, zone: str, count: int) -> None:
-        """Record requests for machines of one zone; they are sent once that is written."""
+        """Record requests for machines in one zone; they are sent once they are committed."""
         ctx = self.ctx
         while count > 0:
-            part = min(count, MACHINES_PER_REQUEST)
-            count -= part
+            request_count = min(count, MAX_MACHINES_PER_REQUEST)
+            count -= request_count
             self.last_number += 1
             name = f"r-{ctx.view.token}-{self.last_number}"
-            log.info("rent %d of %s in %s (%s)", part, pool, zone, name)
-            self._write(pool, name, Hire(name, zone, pool.spot, part, ctx.wall))
+            log.info(
+                "requesting %d machines of pool %s in zone %s (%s)", request_count, pool, zone, name
+            )
+            self._write(pool, name, Hire(name, zone, pool.spot, request_count, ctx.wall))
 
     def send_pending(self, lists_read: int) -> None:
-        """Send what is recorded and not answered; a name gets the same answer again."""
+        """Send recorded requests that have no recorded response.
+
+        Args:
+            lists_read: Machine lists that this leader has read.
+        """
         ctx = self.ctx
         for key, record in list(ctx.view.pools.items()):
             pool = parse_pool_key(key)
-            for hire in record.hires:
-                if hire.machines is None:
-                    self._ask(pool, hire)
+            for rental in record.hires:
+                if rental.machines is None:
+                    self._send(pool, rental)
                 else:
-                    self._use_answer(pool, hire, hire.machines, lists_read)
+                    self._use_recorded(pool, rental, rental.machines, lists_read)
         self.in_flight &= self.cloud.rentals_in_flight()
-        self.answered &= {h.name for record in ctx.view.pools.values() for h in record.hires}
+        self.answered &= {r.name for record in ctx.view.pools.values() for r in record.hires}
 
-    def _ask(self, pool: PoolId, hire: Hire) -> None:
-        if hire.name in self.in_flight or hire.name in self.answered:
+    def _send(self, pool: PoolId, rental: Hire) -> None:
+        if rental.name in self.in_flight or rental.name in self.answered:
             return
         body = {
-            "Hire": hire.name,
+            "Hire": rental.name,
             "Build": pool.machine_type,
-            "Site": hire.zone,
+            "Site": rental.zone,
             "Loaners": pool.spot,
-            "Count": hire.count,
+            "Count": rental.count,
         }
-        if self.cloud.send(CloudOperation.RENT, body, RentalRequest(pool, hire)):
-            self.in_flight.add(hire.name)
-
-    def _use_answer(self, pool: PoolId, hire: Hire, machines: list[str], lists_read: int) -> None:
-        """A recorded answer tells a new leader of machines that no list shows yet."""
-        age = self.ctx.wall - hire.at
-        if lists_read < LISTS_TO_TRUST and age < ANSWER_KEPT_S:
+        if self.cloud.send(CloudOperation.RENT, body, RentalRequest(pool, rental)):
+            self.in_flight.add(rental.name)
+
+    def _use_recorded(
+        self, pool: PoolId, rental: Hire, machines: list[str], lists_read: int
+    ) -> None:
+        """Add machines of a recorded response, which the lists read so far may lack."""
+        age_s = self.ctx.wall - rental.at
+        if lists_read < LISTS_BEFORE_TRUST and age_s < RESPONSE_RETENTION_S:
             for name in machines:
-                self.inventory.add(name, pool, hire.zone, self.ctx.now - age)
-        if age > ANSWER_KEPT_S:
-            self._write(pool, hire.name, None)
-
-    def handle_response(self, subject: RentalRequest, status: int, body: bytes) -> None:
-        """Note what the cloud answered to a rental request."""
-        pool, hire = subject
-        self.in_flight.discard(hire.name)
+                self.inventory.add(name, pool, rental.zone, self.ctx.now - age_s)
+        if age_s > RESPONSE_RETENTION_S:
+            self._write(pool, rental.name, None)
+
+    def handle_response(self, request: RentalRequest, status: int, body: bytes) -> None:
+        """Record the cloud's response; a request without a final one is sent again later."""
+        pool, rental = request
+        self.in_flight.discard(rental.name)
         refused = status == 400 or has_no_capacity(status, body)
         if status == 200 or refused:
-            self.answered.add(hire.name)  # asked no more, while that is being written
+            self.answered.add(rental.name)  # not sent again while the response is being written
         if status == 200:
-            self._take_machines(pool, hire, decode(body, Boxes).machines)
+            self._add_machines(pool, rental, decode(body, Boxes).machines)
         elif refused:
-            log.info("hire %s: refused (%d) in %s %s", hire.name, status, pool, hire.zone)
-            self._block(Place(pool.machine_type, hire.zone, pool.spot))
-            self._write(pool, hire.name, None)
-
-    def _take_machines(self, pool: PoolId, hire: Hire, machines: list[str]) -> None:
+            log.info(
+                "rental request %s: refused with status %d in %s %s",
+                rental.name, status, pool, rental.zone,
+            )  # fmt: skip
+            self._block(Place(pool.machine_type, rental.zone, pool.spot))
+            self._write(pool, rental.name, None)
+
+    def _add_machines(self, pool: PoolId, rental: Hire, machines: list[str]) -> None:
         for name in machines:
-            self.inventory.add(name, pool, hire.zone, self.ctx.now)
+            self.inventory.add(name, pool, rental.zone, self.ctx.now)
         log.info(
             "hire %s: %d of %d in %s %s: %s",
-            hire.name, len(machines), hire.count, pool, hire.zone, ",".join(machines),
+            rental.name, len(machines), rental.count, pool, rental.zone, ",".join(machines),
         )  # fmt: skip
-        place = Place(pool.machine_type, hire.zone, pool.spot)
-        if len(machines) < hire.count:
-            self._block(place)
+        offering = Place(pool.machine_type, rental.zone, pool.spot)
+        if len(machines) < rental.count:
+            self._block(offering)
         else:
-            self.refusal_counts.pop(place, None)
-        self._write(pool, hire.name, msgspec.structs.replace(hire, machines=machines))
-
-    def _block(self, place: Place) -> None:
-        """No capacity: ask elsewhere for a while."""
-        times = self.refusal_counts.get(place, 0)
-        self.refusal_counts[place] = times + 1
-        pause = REFUSED_PAUSE_S * min(LONGEST_REFUSED_PAUSES, 1 + times)
-        self.blocked_until[place] = self.ctx.now + pause
-
-    def _write(self, pool: PoolId, name: str, hire: Hire | None) -> None:
-        """Write a request's new state into its pool's record; None removes it."""
+            self.refusal_counts.pop(offering, None)
+        self._write(pool, rental.name, msgspec.structs.replace(rental, machines=machines))
+
+    def _block(self, offering: Place) -> None:
+        """Pause requests for an offering without capacity, longer after repeated refusals."""
+        refusals = self.refusal_counts.get(offering, 0)
+        self.refusal_counts[offering] = refusals + 1
+        pause_s = REFUSED_PAUSE_S * min(MAX_REFUSED_PAUSES, 1 + refusals)
+        self.blocked_until[offering] = self.ctx.now + pause_s
+
+    def _write(self, pool: PoolId, name: str, rental: Hire | None) -> None:
+        """Write the new state of a request into its pool's record; None removes the request."""
         queue = self.ctx.queue
 
         def change(current: Struct | None) -> Result:
-            parts = queue.most_parts() if self.ctx.view.level else 1
-            room = queue.limits.value * parts - RECORD_RESERVE
+            max_parts = queue.most_parts() if self.ctx.view.level else 1
+            max_bytes = queue.limits.value * max_parts - RECORD_RESERVE_BYTES
             record = current if isinstance(current, PoolRecord) else PoolRecord()
-            kept = [h for h in record.hires if h.name != name]
-            if hire is not None:
-                kept.append(hire)
-            elif len(kept) == len(record.hires):
+            rentals = [r for r in record.hires if r.name != name]
+            if rental is not None:
+                rentals.append(rental)
+            elif len(rentals) == len(record.hires):
                 raise NotApplicableError("not there")
-            # Answered rentals are kept for a successor that the cloud's list, which
-            # lags, does not tell of them; at hundreds of machines the oldest have to go.
-            answered = [h for h in kept if h.machines is not None]
-            while answered and codec.size(codec.dump(PoolRecord(hires=kept))) > room:
-                kept.remove(answered.pop(0))
-            return msgspec.structs.replace(record, hires=kept)
+            # Responses are kept because the next leader may need machines that the cloud's
+            # list, which lags, does not show yet. With hundreds of machines the record gets
+            # too large, and the oldest responses are dropped.
+            answered = [r for r in rentals if r.machines is not None]
+            while answered and codec.size(codec.dump(PoolRecord(hires=rentals))) > max_bytes:
+                rentals.remove(answered.pop(0))
+            return msgspec.structs.replace(record, hires=rentals)
 
         queue.propose(Edit(pool_key(str(pool)), change, fence=self.ctx.view.token))
