--- a/coursefold/coordination/fleet.py
+++ b/coursefold/coordination/fleet.py
@@ -1,8 +1,8 @@
-"""The fleet: what the leader asks the cloud for, and when.
+"""The leader's fleet management: machine list, catalog, rentals, returns and pool sizes.
 
-The parts: `inventory` knows the machines, `hires` the rental requests, `pools` decides how
-many machines each pool should have, `cloud` sends within the cloud's rate. Here they are
-brought together: lists and the catalog are read, answers handed on, machines given back.
+`inventory` tracks the machines, `rentals` the rental requests, `pools` decides how many
+machines each pool should have, and `cloud` sends requests within the cloud's rate. This
+module schedules their work and passes responses of the cloud to them.
 """
 
 import logging
@@ -32,20 +32,27 @@
 
 log = logging.getLogger(__name__)
 
-LIST_EVERY_S = 3.0
-LIST_SHARE = 0.2  # of the cloud's rate; a list may take several pages
-MACHINES_PER_PAGE = 500  # by the protocol
-PAGE_FILL = 400  # machines that are counted as a page of the next list
-RETURNS_PER_REQUEST = 100  # by the protocol
-CATALOG_EVERY_S = 45.0
-WATCH_EVERY_S = 0.5
-LENT_FOR_RETURN_S = 3.0
-FRESH_SUMMARY_S = 1.5
-OK = 200
+LIST_INTERVAL_S = 3.0
+LIST_RATE_SHARE = 0.2  # of the cloud's rate; a list may take several pages
+MACHINES_PER_PAGE = 500  # limit of the cloud's API
+PLANNED_MACHINES_PER_PAGE = 400  # to estimate the pages of the next list; the fleet may grow
+MAX_RETURNS_PER_REQUEST = 100  # limit of the cloud's API
+CATALOG_INTERVAL_S = 45.0
+INVENTORY_INTERVAL_S = 0.5
+RETURN_RESERVATION_S = 3.0
+MAX_SUMMARY_AGE_S = 1.5
+HTTP_OK = 200
 
 
 class FleetManager:
-    """Rents, watches and returns machines while this node leads."""
+    """Rents, observes and returns machines while this controller leads.
+
+    Attributes:
+        leading_token: Fencing token under which this controller leads; 0 if it does not.
+        listed_machines: Rows of the list that is being read, page by page.
+        page_start: Name after which the next page of that list begins; empty between lists.
+        lists_read: Complete lists read since this controller began to lead.
+    """
 
     def __init__(self, ctx: Context, leader: Leader) -> None:
         self.ctx = ctx
@@ -60,7 +67,7 @@
         self._reset()
 
     def _reset(self) -> None:
-        """A new leader starts from reports and lists."""
+        """Forget the fleet; a new leader learns it from reports and lists."""
         self.inventory.reset()
         self.rentals.reset()
         self.pool_control.reset()
@@ -70,35 +77,41 @@
         self.lists_read = 0
         self.list_requested_at = -math.inf
         self.planned_at = -math.inf
-        self.watched_at = -math.inf
+        self.inventory_updated_at = -math.inf
+
+    # Responses of the cloud
 
-    # Answers of the cloud
+    def handle_response(self, call_id: int, status: int, body: bytes) -> None:
+        """Process a response of the cloud.
 
-    def handle_response(self, call: int, status: int, body: bytes) -> None:
-        """An answer of the cloud; status 0 is no answer."""
-        pending = self.cloud.match_response(call, status, body)
+        Args:
+            call_id: Number of the call.
+            status: HTTP status; 0 if there was no response.
+            body: Body of the response.
+        """
+        pending = self.cloud.match_response(call_id, status, body)
         if pending is None or not self.ctx.leading():
             return
         try:
-            self._take_answer(pending.request, status, body)
-        except MalformedError as wrong:
-            log.error("cloud answer to %s is not readable: %s", pending.operation, wrong)
-
-    def _take_answer(self, subject: CloudRequest, status: int, body: bytes) -> None:
-        if isinstance(subject, RentalRequest):
-            self.rentals.handle_response(subject, status, body)
-        elif status != OK:
-            return  # asked again in its time
-        elif isinstance(subject, CatalogRequest):
-            self._take_catalog(decode(body, Catalog))
-        elif isinstance(subject, ListRequest):
-            self._take_page(subject, decode(body, MachineList))
-        elif isinstance(subject, ReturnRequest):
-            self.inventory.record_returned(subject.machines)
+            self._dispatch_response(pending.request, status, body)
+        except MalformedError as error:
+            log.error("malformed response of the cloud to %s: %s", pending.operation, error)
+
+    def _dispatch_response(self, request: CloudRequest, status: int, body: bytes) -> None:
+        if isinstance(request, RentalRequest):
+            self.rentals.handle_response(request, status, body)
+        elif status != HTTP_OK:
+            return  # requested again at the next interval
+        elif isinstance(request, CatalogRequest):
+            self._record_catalog(decode(body, Catalog))
+        elif isinstance(request, ListRequest):
+            self._add_page(request, decode(body, MachineList))
+        elif isinstance(request, ReturnRequest):
+            self.inventory.record_returned(request.machines)
         else:
-            assert_never(subject)
+            assert_never(request)
 
-    def _take_catalog(self, catalog: Catalog) -> None:
+    def _record_catalog(self, catalog: Catalog) -> None:
         self.catalog_read_at = self.ctx.now
 
         def change(current: Struct | None) -> Result:
@@ -106,57 +119,59 @@
                 raise NotApplicableError("same")
             return catalog
 
-        for kind in catalog.builds:
+        for type_info in catalog.builds:
             log.debug(
                 "type %s: %g cpus, %g accelerators, %g GB, %g an hour, %g when spot",
-                kind.name, kind.cpus, kind.gpus, kind.memory, kind.price, kind.spot_price,
+                type_info.name, type_info.cpus, type_info.gpus, type_info.memory, type_info.price,
+                type_info.spot_price,
             )  # fmt: skip
         key = records.TYPES if self.ctx.view.level else records.CATALOG
         fence = self.ctx.view.token
         self.ctx.queue.propose(Edit(key, change, fence=fence, rank=LATER, tag="catalog"))
 
-    def _take_page(self, subject: ListRequest, page: MachineList) -> None:
-        if subject.start_after != self.page_start:
+    def _add_page(self, request: ListRequest, page: MachineList) -> None:
+        """Add a page to the list that is being read; pass the list on once it is complete."""
+        if request.start_after != self.page_start:
             return
         self.listed_machines.extend(page.machines)
         if page.more and page.machines:
             self.page_start = page.machines[-1].name
-            self._ask_list()
+            self._request_list()
             return
         self.page_start = ""
         rows, self.listed_machines = self.listed_machines, []
         self.lists_read += 1
-        self.inventory.update_from_list(rows, self._list_every())
+        self.inventory.update_from_list(rows, self._list_interval_s())
 
-    # Each tick
+    # Periodic work
 
     def tick(self) -> None:
-        """One round: ask, watch, send what is recorded, and plan when it is time."""
+        """Do what is due: requests, inventory updates, rentals, returns and pool sizes."""
         ctx = self.ctx
         if not ctx.leading():
             self.leading_token = 0
             return
         if self.leading_token != ctx.view.token:
-            self._begin()
-        if ctx.view.catalog is None or ctx.now - self.catalog_read_at > CATALOG_EVERY_S:
+            self._begin_term()
+        if ctx.view.catalog is None or ctx.now - self.catalog_read_at > CATALOG_INTERVAL_S:
             self.cloud.send(CloudOperation.CATALOG, {}, CatalogRequest())
-        self._ask_list()
+        self._request_list()
         if ctx.view.catalog is None:
             return
-        if ctx.now - self.watched_at >= WATCH_EVERY_S:
-            self._watch()
+        if ctx.now - self.inventory_updated_at >= INVENTORY_INTERVAL_S:
+            self._update_inventory()
         self.leader.blocked = {
-            p for p, until in self.rentals.blocked_until.items() if until > ctx.now
+            offering for offering, until in self.rentals.blocked_until.items() if until > ctx.now
         }
         self.rentals.send_pending(self.lists_read)
         self._send_returns()
         if ctx.now - self.planned_at >= self.parameters.period and self.lists_read > 0:
-            elapsed = min(MAX_PERIOD_S, ctx.now - self.planned_at)
+            elapsed_s = min(MAX_PERIOD_S, ctx.now - self.planned_at)
             self.planned_at = ctx.now
-            self.pool_control.plan(ctx.view.catalog, elapsed)
+            self.pool_control.plan(ctx.view.catalog, elapsed_s)
 
-    def _begin(self) -> None:
-        """Lead under a new fencing token."""
+    def _begin_term(self) -> None:
+        """Begin under a new fencing token; keep the fleet if this controller led until now."""
         if self.leading_token == 0 or not self.inventory.machines:
             self._reset()
         self.leading_token = self.ctx.view.token
@@ -164,8 +179,8 @@
         self.cloud.discard_pending()
         self.rentals.begin_term()
 
-    def _watch(self) -> None:
-        self.watched_at = self.ctx.now
+    def _update_inventory(self) -> None:
+        self.inventory_updated_at = self.ctx.now
         self.inventory.update_from_owners()
         self.leader.booting = [
             Place(machine.machine_type, machine.zone, machine.spot)
@@ -173,53 +188,58 @@
             if not machine.is_up and machine.id not in self.inventory.returning
         ]
 
-    def _ask_list(self) -> None:
-        """Ask for the next page, or begin anew when the time has come.
+    def _request_list(self) -> None:
+        """Request the next page of the machine list, or a new list when it is due.
 
-        A page that was refused, or that found no room in the cloud's rate, is asked for
-        again: over 500 machines every list has several, and a list that is given up for one
-        of them, just when hundreds are rented, would leave the fleet unseen.
+        A page that was refused, or that the rate limit held back, is requested again. Above
+        500 machines every list has several pages; giving up a whole list for one of them
+        would leave the fleet unobserved just when hundreds of machines are rented.
         """
         if self.page_start:
             body = {"From": self.page_start, "Page": MACHINES_PER_PAGE}
             self.cloud.send(CloudOperation.LIST, body, ListRequest(self.page_start))
             return
-        if self.ctx.now - self.list_requested_at <= self._list_every():
+        if self.ctx.now - self.list_requested_at <= self._list_interval_s():
             return
         if self.cloud.send(CloudOperation.LIST, {"Page": MACHINES_PER_PAGE}, ListRequest("")):
             self.list_requested_at = self.ctx.now
             self.listed_machines = []
 
-    def _list_every(self) -> float:
-        """Seconds from one list to the next: a large fleet's takes more calls."""
-        pages = 1 + len(self.inventory.machines) // PAGE_FILL
-        return max(LIST_EVERY_S, pages / (LIST_SHARE * self.ctx.settings.params.cloud.rps))
+    def _list_interval_s(self) -> float:
+        """Return the time from one list to the next; longer if the list takes several calls."""
+        pages = 1 + len(self.inventory.machines) // PLANNED_MACHINES_PER_PAGE
+        return max(LIST_INTERVAL_S, pages / (LIST_RATE_SHARE * self.ctx.settings.params.cloud.rps))
 
-    # Giving back
+    # Returns
 
     def _send_returns(self) -> None:
         ready = [
             name
-            for name, why in list(self.inventory.returning.items())
-            if why != SPARE_REASON or self._is_lent(name)
-        ][:RETURNS_PER_REQUEST]
+            for name, reason in list(self.inventory.returning.items())
+            if reason != SPARE_REASON or self._reserve_for_return(name)
+        ][:MAX_RETURNS_PER_REQUEST]
         if ready:
             self.cloud.send(CloudOperation.RETURN, {"Boxes": ready}, ReturnRequest(ready))
 
-    def _is_lent(self, machine: str) -> bool:
-        """A spare machine goes back only while its owner keeps it free."""
+    def _reserve_for_return(self, machine: str) -> bool:
+        """Have the owner keep a spare machine free; return whether it does so already.
+
+        The return is cancelled if the machine has got tasks meanwhile.
+        """
         ctx = self.ctx
-        if ctx.view.on_machine(machine) or any(m == machine for m, _ in ctx.pending.values()):
+        if ctx.view.on_machine(machine) or any(
+            target == machine for target, _ in ctx.pending.values()
+        ):
             self.inventory.returning.pop(machine, None)
             self.leader.wanted.pop(machine, None)
             return False
         own = ctx.machines.get(machine)
         if own is not None:
-            own.lent_until = ctx.now + LENT_FOR_RETURN_S
+            own.lent_until = ctx.now + RETURN_RESERVATION_S
             return True
-        self.leader.wanted[machine] = ctx.now + LENT_FOR_RETURN_S
+        self.leader.wanted[machine] = ctx.now + RETURN_RESERVATION_S
         return any(
-            ctx.now - peer.at < FRESH_SUMMARY_S
+            ctx.now - peer.at < MAX_SUMMARY_AGE_S
             and machine in peer.machines
             and peer.machines[machine].lent
             for peer in ctx.peers.values()
