--- a/coursefold/coordination/pools.py
+++ b/coursefold/coordination/pools.py
@@ -1,8 +1,8 @@
-"""Pool sizes: the leader steers each pool of alike machines to c* by PID.
+"""Pool sizes: the leader controls each pool towards its target size c* with a PID controller.
 
-Cioppino's control loop (sections 3.1, 3.2 and 4.2): what the queue asks for gives c*, the
-PID turns its distance from the pool's size into machines to rent or to give back, and lost
-machines are replaced at their recent average rate. See `docs/design.md`.
+This is Cioppino's control loop (sections 3.1, 3.2 and 4.2): the target c* follows from the
+demand, the PID controller turns its distance from the pool's size into machines to rent or
+to return, and lost machines are replaced at their recent average rate. See `docs/design.md`.
 """
 
 import logging
@@ -30,108 +30,126 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PERIOD_S = 10.0  # of one step of the loop, after a pause
-COUNTED_TASKS = 200  # of one job's arrival
-LEAST_DRIVE = 0.25  # slots; the integral's small share alone does not rent one more
+MAX_PERIOD_S = 10.0  # time that one step accounts for, however long the loop was paused
+MAX_TASKS_PER_ARRIVAL = 200  # of one job
+# Part of a slot, and of a machine, that is not rented for: otherwise the small integral term
+# alone would rent one more machine.
+OUTPUT_DEADBAND = 0.25
 
 
 class PoolControl:
-    """One control loop for each pool."""
+    """The control loops of all pools.
+
+    Attributes:
+        pid_states: Last error (slots) and integral of each pool.
+        run_times: Run times of finished tasks; shared with the leader.
+        recent_arrivals: Jobs that arrived in the window: when (wall time), and what.
+        active_rules: Names of the policy rules in force, by pool.
+        demands: Demand for each pool in the last step.
+    """
 
     def __init__(
-        self, ctx: Context, leader: Leader, inventory: Inventory, hires: RentalManager
+        self, ctx: Context, leader: Leader, inventory: Inventory, rentals: RentalManager
     ) -> None:
         self.ctx = ctx
         self.leader = leader
         self.inventory = inventory
-        self.rentals = hires
+        self.rentals = rentals
         self.parameters = ctx.policy.parameters
         self.gains = Gains(self.parameters.kp, self.parameters.ki, self.parameters.kd)
         self.reset()
 
     def reset(self) -> None:
-        """Begin anew, as a new leader does; the integral starts at zero."""
+        """Forget all state, as a new leader does; the integrals start at zero."""
         self.pid_states: dict[PoolId, tuple[float, float]] = {}
         self.run_times = self.leader.runs = RunTimes()
         self.recent_arrivals: dict[str, tuple[float, Job]] = {}
         self.active_rules: dict[PoolId, tuple[str, ...]] = {}
-        self.demands: dict[PoolId, PoolDemand] = {}  # of the last step
+        self.demands: dict[PoolId, PoolDemand] = {}
+
+    def plan(self, catalog: Catalog, elapsed_s: float) -> None:
+        """Do one step of all control loops.
 
-    def plan(self, catalog: Catalog, elapsed: float) -> None:
-        """One step of all loops."""
+        Args:
+            catalog: Machine types.
+            elapsed_s: Time since the last step, at most MAX_PERIOD_S.
+        """
         ctx = self.ctx
-        for lane, seconds in ctx.finished:
-            self.run_times.add(lane, seconds, ctx.now)
+        for job_class, run_s in ctx.finished:
+            self.run_times.add(job_class, run_s, ctx.now)
         ctx.finished.clear()
-        losses = {
-            pool: lost.rate_per_s(ctx.now) for pool, lost in self.inventory.loss_trackers.items()
+        loss_rates = {
+            pool: losses.rate_per_s(ctx.now)
+            for pool, losses in self.inventory.loss_trackers.items()
         }
         planner = DemandPlanner(
-            catalog, self.run_times, ctx.now, self.rentals.blocked_until, losses,
+            catalog, self.run_times, ctx.now, self.rentals.blocked_until, loss_rates,
             self.parameters.arrivals_window, ctx.market(),
         )  # fmt: skip
         self._count_machines(planner)
         self._count_arrivals(planner)
-        needs = self._needs()
+        unplaced_jobs = self._list_unplaced()
         self._count_running(planner)
-        planner.pack_waiting(needs, self.current_and_booting_capacity())
+        planner.pack_waiting(unplaced_jobs, self.current_and_booting_capacity())
         self.demands = planner.pools
         for pool, demand in planner.pools.items():
-            self._steer(pool, demand, elapsed)
+            self._control(pool, demand, elapsed_s)
 
-    # What there is, and what is asked for
+    # Supply and demand
 
     def _count_machines(self, planner: DemandPlanner) -> None:
-        """Sizes of pools: machines that are up or will be soon, and unanswered hires."""
+        """Count the pools' machines: those that are up or booting, and unanswered requests."""
         inventory = self.inventory
         for machine in inventory.machines.values():
             if machine.id in inventory.returning or machine.lease_expired or machine.quarantined:
                 continue
             if machine.pool in planner.pools and not inventory.is_boot_overdue(machine):
                 planner.pools[machine.pool].machine_count += 1
-        for name, record in self.ctx.view.pools.items():
-            demand = planner.pools.get(parse_pool_key(name))
+        for key, record in self.ctx.view.pools.items():
+            demand = planner.pools.get(parse_pool_key(key))
             if demand is not None:
-                demand.machine_count += sum(h.count for h in record.hires if h.machines is None)
+                demand.machine_count += sum(r.count for r in record.hires if r.machines is None)
 
     def _count_arrivals(self, planner: DemandPlanner) -> None:
-        """Arrivals of the window; a job arrives when it may start."""
+        """Count the arrivals of the window; a job arrives when it may start."""
         ctx = self.ctx
-        window = self.parameters.arrivals_window
+        window_s = self.parameters.arrivals_window
         for name, job in ctx.view.jobs.items():
             if name in self.recent_arrivals or ctx.view.needs.holds(name) or not job.may_start:
                 continue
-            since = ctx.view.since(name, job)
-            if ctx.wall - since < window:
-                self.recent_arrivals[name] = (since, job.spec)
-        for seen, (at, spec) in list(self.recent_arrivals.items()):
-            if ctx.wall - at > window:
-                del self.recent_arrivals[seen]
+            arrived_at = ctx.view.since(name, job)
+            if ctx.wall - arrived_at < window_s:
+                self.recent_arrivals[name] = (arrived_at, job.spec)
+        for job_name, (at, spec) in list(self.recent_arrivals.items()):
+            if ctx.wall - at > window_s:
+                del self.recent_arrivals[job_name]
             else:
-                planner.count_arrival(spec, min(spec.tasks, COUNTED_TASKS))
+                planner.count_arrival(spec, min(spec.tasks, MAX_TASKS_PER_ARRIVAL))
 
-    def _needs(self) -> list[UnplacedTasks]:
-        """Tasks that wait, in queue order and within their teams' limits."""
+    def _list_unplaced(self) -> list[UnplacedTasks]:
+        """Return the waiting tasks in queue order, within their teams' limits."""
         ctx = self.ctx
         quota = Quota(ctx.settings.params.teams, ctx.view.usage)
-        needs: list[UnplacedTasks] = []
-        for wait in self.leader.queue(quota):
-            count = self._within_limits(wait, quota)
+        unplaced_jobs: list[UnplacedTasks] = []
+        for queued in self.leader.queue(quota):
+            count = self._count_allowed(queued, quota)
             if count <= 0:
                 continue
-            quota.take(wait.job.spec, count)
-            zones: dict[str, int] = {}
-            for entry in wait.job.entries:
-                zones[entry.zone] = zones.get(entry.zone, 0) + 1
-            needs.append(UnplacedTasks(wait.job.spec, count, zones, wait.slack, wait.age))
-        return needs
+            quota.take(queued.job.spec, count)
+            tasks_by_zone: dict[str, int] = {}
+            for entry in queued.job.entries:
+                tasks_by_zone[entry.zone] = tasks_by_zone.get(entry.zone, 0) + 1
+            unplaced_jobs.append(
+                UnplacedTasks(queued.job.spec, count, tasks_by_zone, queued.slack, queued.age)
+            )
+        return unplaced_jobs
 
-    def _within_limits(self, wait: Waiting, quota: Quota) -> int:
-        """How many of a job's waiting tasks its record and its team's limit have room for."""
-        spec = wait.job.spec
-        count = min(wait.job.waiting_count, self.leader.most_entries())
-        # What its team's limit is kept for needs its machines once the limit has room.
-        if self.leader.keeps_quota(wait):
+    def _count_allowed(self, queued: Waiting, quota: Quota) -> int:
+        """Return how many of a job's waiting tasks fit its record and its team's limit."""
+        spec = queued.job.spec
+        count = min(queued.job.waiting_count, self.leader.most_entries())
+        # A gang for which its team's limit is reserved needs machines as soon as usage drops.
+        if self.leader.keeps_quota(queued):
             return count
         while count > 0 and not quota.fits(spec, count):
             count = count - 1 if spec.shape == "array" else 0
@@ -145,89 +163,100 @@
                     planner.count_running(spec, machine.pool)
 
     def current_and_booting_capacity(self) -> list[Room]:
-        """Free room now, and the machines that are about to be up."""
+        """Return what is free on machines that are up, and machines that will be up soon."""
         ctx = self.ctx
         inventory = self.inventory
-        rooms = [r for r in ctx.rooms() if r.id not in inventory.returning]
-        have = {r.id for r in rooms}
+        capacities = [c for c in ctx.rooms() if c.id not in inventory.returning]
+        available_ids = {c.id for c in capacities}
         for machine in inventory.machines.values():
-            kind = ctx.kind(machine.machine_type)
-            if machine.id in have or machine.id in inventory.returning:
+            type_info = ctx.kind(machine.machine_type)
+            if machine.id in available_ids or machine.id in inventory.returning:
                 continue
             if machine.is_up and not inventory.is_recently_handed_over(machine):
                 continue
-            if kind and not inventory.is_boot_overdue(machine):
-                rooms.append(Room(machine.id, kind, machine.zone, machine.spot, "", 0))
-        for room in rooms:
-            if room.lent and room.id in self.leader.wanted:
-                room.lent = False
-            if ctx.ownership.move(room.id) is not None:
-                room.draining = False  # it stays ours: a move rents nothing
-        return rooms
+            if type_info and not inventory.is_boot_overdue(machine):
+                capacities.append(Room(machine.id, type_info, machine.zone, machine.spot, "", 0))
+        for capacity in capacities:
+            if capacity.lent and capacity.id in self.leader.wanted:
+                capacity.lent = False
+            if ctx.ownership.move(capacity.id) is not None:
+                # The machine stays in the cell, so its handover is no reason to rent another.
+                capacity.draining = False
+        return capacities
 
-    # The loop of one pool
+    # The control loop of one pool
 
-    def _steer(self, pool: PoolId, demand: PoolDemand, elapsed: float) -> None:
+    def _control(self, pool: PoolId, demand: PoolDemand, elapsed_s: float) -> None:
         ctx = self.ctx
         target = demand.target_slots(self.parameters.eta)
         size = demand.machine_count * demand.slots_per_machine
-        booting = (pool.machine_type, pool.spot) in {
-            (b, spot) for b, _, spot in self.leader.booting
+        is_booting = (pool.machine_type, pool.spot) in {
+            (machine_type, spot) for machine_type, _, spot in self.leader.booting
         }
         error = target - size
-        last, integral = self.pid_states.get(pool, (0.0, 0.0))
+        last_error, integral = self.pid_states.get(pool, (0.0, 0.0))
         result = compute_pid(
             error,
-            last,
+            last_error,
             integral,
             self.gains,
-            hold_integral=booting,
+            hold_integral=is_booting,
             max_integral_output=float(demand.slots_per_machine),
         )
         self.pid_states[pool] = (error, result.integral)
-        lost = self.inventory.loss_trackers.get(pool)
-        replaced = lost.claim_replacements(ctx.now, elapsed, error > 0) if lost else 0
+        losses = self.inventory.loss_trackers.get(pool)
+        replacements = losses.claim_replacements(ctx.now, elapsed_s, error > 0) if losses else 0
         if target > 0 or demand.machine_count:
             log.debug(
                 "pool %s: c*=%.1f c=%d u=%.1f arrivals=%.1f busy=%.1f queued=%.1f backlog=%.1f",
                 pool, target, size, result.output, demand.arrived_slots, demand.busy_slots,
                 demand.queued_slots, demand.backlog_slots,
             )  # fmt: skip
-        ruled = self._ruled(pool, demand, target, lost)
-        want = self._whole_machines(demand, error, result.output, replaced, ruled)
-        if want > 0:
-            self._rent(pool, demand, want)
-        elif want < 0:
-            self._give_back(pool, -want)
+        adjustment = self._apply_rules(pool, demand, target, losses)
+        change = self._machines_to_add(demand, error, result.output, replacements, adjustment)
+        if change > 0:
+            self._rent(pool, demand, change)
+        elif change < 0:
+            self._return_idle(pool, -change)
 
     @staticmethod
-    def _whole_machines(
-        demand: PoolDemand, error: float, drive: float, replaced: int, ruled: Adjustment
+    def _machines_to_add(
+        demand: PoolDemand, error: float, output: float, replacements: int, adjustment: Adjustment
     ) -> int:
-        """Machines to rent, or, below zero, to give back."""
-        if drive > LEAST_DRIVE and error > 0:
-            steered = max(1, math.ceil(drive / demand.slots_per_machine - LEAST_DRIVE), replaced)
-            want = steered + max(0, ruled.recruit)
-        elif drive <= -demand.slots_per_machine and error <= -demand.slots_per_machine:
-            want = -int(-drive // demand.slots_per_machine) + ruled.recruit
+        """Return the number of machines to rent, or, if negative, to return.
+
+        Args:
+            demand: Demand for the pool.
+            error: Target less size, in slots.
+            output: Output of the PID controller, in slots.
+            replacements: Machines due for recent losses.
+            adjustment: Result of the policy rules.
+        """
+        if output > OUTPUT_DEADBAND and error > 0:
+            controlled = max(
+                1, math.ceil(output / demand.slots_per_machine - OUTPUT_DEADBAND), replacements
+            )
+            change = controlled + max(0, adjustment.recruit)
+        elif output <= -demand.slots_per_machine and error <= -demand.slots_per_machine:
+            change = -int(-output // demand.slots_per_machine) + adjustment.recruit
         else:
-            want = ruled.recruit
-        want = max(want, ruled.at_least - demand.machine_count)
-        if ruled.at_most is not None:
-            want = min(want, ruled.at_most - demand.machine_count)
-        return want
+            change = adjustment.recruit
+        change = max(change, adjustment.at_least - demand.machine_count)
+        if adjustment.at_most is not None:
+            change = min(change, adjustment.at_most - demand.machine_count)
+        return change
 
-    def _ruled(
-        self, pool: PoolId, demand: PoolDemand, target: float, lost: LossTracker | None
+    def _apply_rules(
+        self, pool: PoolId, demand: PoolDemand, target: float, losses: LossTracker | None
     ) -> Adjustment:
-        """What the operators' rules ask of this pool; said once when it changes."""
+        """Return what the policy rules ask of the pool; log the rules in force when they change."""
         ctx = self.ctx
         if not ctx.policy.rules:
             return Adjustment()
-        waits = [
-            ctx.now - room.idle_since
-            for room in ctx.rooms()
-            if (room.kind.name, room.spot) == pool and room.tasks == 0
+        idle_times_s = [
+            ctx.now - capacity.idle_since
+            for capacity in ctx.rooms()
+            if (capacity.kind.name, capacity.spot) == pool and capacity.tasks == 0
         ]
         env: Env = {
             "lambda": demand.arrived_slots / demand.window_s,
@@ -238,8 +267,8 @@
             "queue": demand.queued_slots + demand.backlog_slots + demand.gang_slots,
             "machines": float(demand.machine_count),
             "price": demand.price_per_slot_s * 3600.0,
-            "losses": lost.rate_per_s(ctx.now) * 3600.0 if lost else 0.0,
-            "idle": max(waits, default=0.0),
+            "losses": losses.rate_per_s(ctx.now) * 3600.0 if losses else 0.0,
+            "idle": max(idle_times_s, default=0.0),
             "spot": pool.spot,
             "pool": str(pool),
         }
@@ -249,8 +278,8 @@
             log.info("pool %s: rules in force: %s", pool, ", ".join(adjustment.fired) or "none")
         return adjustment
 
-    def _rent(self, pool: PoolId, demand: PoolDemand, want: int) -> None:
-        """Rent whole machines, split over zones by what asked for them."""
+    def _rent(self, pool: PoolId, demand: PoolDemand, count: int) -> None:
+        """Request machines in zones where the cloud has capacity, unless a request is pending."""
         if self.rentals.has_pending_write(pool):
             return
         zones = [
@@ -260,48 +289,50 @@
         ]
         if not zones:
             return
-        for zone, count in self._split(pool, demand, zones, want).items():
-            self.rentals.rent(pool, zone, count)
+        for zone, zone_count in self._split_by_zone(pool, demand, zones, count).items():
+            self.rentals.rent(pool, zone, zone_count)
 
-    def _split(
-        self, pool: PoolId, demand: PoolDemand, zones: list[str], want: int
+    def _split_by_zone(
+        self, pool: PoolId, demand: PoolDemand, zones: list[str], count: int
     ) -> dict[str, int]:
-        """Machines to rent by zone: first what asks for a zone, then evenly."""
-        have = dict.fromkeys(zones, 0)
+        """Return machines to rent by zone: first for demand in particular zones, then evenly."""
+        existing = dict.fromkeys(zones, 0)
         for machine in self.inventory.machines.values():
             if machine.id in self.inventory.returning:
                 continue
-            if machine.pool == pool and machine.zone in have:
-                have[machine.zone] += 1
+            if machine.pool == pool and machine.zone in existing:
+                existing[machine.zone] += 1
         split = dict.fromkeys(zones, 0)
-        needs = {
-            z: w / demand.slots_per_machine for z, w in demand.slots_by_zone.items() if z in split
+        missing = {
+            zone: slots / demand.slots_per_machine
+            for zone, slots in demand.slots_by_zone.items()
+            if zone in split
         }
-        for _ in range(want):
-            zone = max(needs, key=lambda z: needs[z]) if needs else ""
-            if not zone or needs[zone] <= 0:
-                zone = min(zones, key=lambda z: (have[z] + split[z], z))
+        for _ in range(count):
+            zone = max(missing, key=lambda z: missing[z]) if missing else ""
+            if not zone or missing[zone] <= 0:
+                zone = min(zones, key=lambda z: (existing[z] + split[z], z))
             else:
-                needs[zone] -= 1
+                missing[zone] -= 1
             split[zone] += 1
         return split
 
-    def _give_back(self, pool: PoolId, most: int) -> None:
-        """Return machines that are empty and have been for a while."""
+    def _return_idle(self, pool: PoolId, max_count: int) -> None:
+        """Return machines that have been idle for long enough, the longest idle first."""
         ctx = self.ctx
         inventory = self.inventory
-        rooms = {r.id: r for r in ctx.rooms()}
+        capacities = {c.id: c for c in ctx.rooms()}
         spare = [
             machine
             for machine in inventory.machines.values()
             if machine.pool == pool
             and machine.id not in inventory.returning
-            and machine.id in rooms
-            and rooms[machine.id].tasks == 0
-            and ctx.now - rooms[machine.id].idle_since > self.parameters.idle
+            and machine.id in capacities
+            and capacities[machine.id].tasks == 0
+            and ctx.now - capacities[machine.id].idle_since > self.parameters.idle
             and not ctx.view.on_machine(machine.id)
         ]
-        spare.sort(key=lambda machine: rooms[machine.id].idle_since)
-        for machine in spare[:most]:
-            log.info("machine %s is spare in %s", machine.id, pool)
+        spare.sort(key=lambda machine: capacities[machine.id].idle_since)
+        for machine in spare[:max_count]:
+            log.info("machine %s is no longer needed in pool %s", machine.id, pool)
             inventory.returning[machine.id] = SPARE_REASON
