--- a/coursefold/coordination/inventory.py
+++ b/coursefold/coordination/inventory.py
@@ -1,8 +1,8 @@
-"""The machines that the leader believes to exist, and what became of them.
+"""The leader's inventory: machines that exist as far as it knows, and their losses and returns.
 
-Three sources are brought together: the cloud's list, which lags; what owners hear from
-their workers; and the answers to our own requests. A machine is given up only with a
-reason, and its tasks count as gone only on proof (`docs/architecture.md`, "Proofs").
+Three sources are combined: the cloud's list, which lags behind; what owners learn from their
+workers' reports; and the cloud's responses to rental requests. A machine is returned only
+for a reason, and its tasks count as gone only on proof (`docs/architecture.md`, "Proofs").
 """
 
 import logging
@@ -19,19 +19,28 @@
 
 log = logging.getLogger(__name__)
 
-SILENT_KEPT_S = 45.0  # an empty machine whose lease is over may come back: a cut, a hang
-PROBABLE_CUT = 6  # machines; of fewer, silence says nothing about their zone
-LATE_BOOTS = 1.6  # times the boot time; most machines take up to 1.5
+# An empty machine is kept for so long after its lease: it may come back from a network
+# partition or a hang.
+SILENT_RETENTION_S = 45.0
+MIN_MACHINES_FOR_PARTITION = 6  # the silence of fewer says nothing about their zone
+OVERDUE_BOOT_FACTOR = 1.6  # of the nominal boot time; most machines take up to 1.5
 DEFAULT_BOOT_S = 60.0
-PEER_SUMMARY_MAX_AGE_S = 3.0
-SETTLING_S = 4.0  # beyond a lease, until every worker should have shown the new token
-RETURNED_REMEMBERED_S = 180.0  # the cloud's list may show a returned machine meanwhile
-NEW_LEADER_S = 10.0  # what falls silent before this was lost before our time
+MAX_PEER_SUMMARY_AGE_S = 3.0
+TOKEN_CONFIRMATION_S = 4.0  # after a lease; by then every live worker has confirmed a new token
+RETURNED_RETENTION_S = 180.0  # the cloud's list may still show a returned machine
+TAKEOVER_GRACE_S = 10.0  # losses noticed earlier are those of the former leader's time
 SPARE_REASON = "spare"
 
 
 class OwnerReport(NamedTuple):
-    """What a machine's owner says of it."""
+    """What a machine's owner knows of it.
+
+    Attributes:
+        silent_s: Time since the machine's last report.
+        quarantined: Whether tasks fail on the machine, so that it gets no new ones.
+        lease_expired: Whether it has been silent for longer than its lease.
+        responses_lost: Whether its reports arrive but responses do not reach it.
+    """
 
     silent_s: float
     quarantined: bool
@@ -40,19 +49,29 @@
 
 
 class RentedMachine:
-    """A machine that the leader believes to exist."""
+    """A machine that exists as far as the leader knows.
+
+    Attributes:
+        rented_at: When it was rented, as far as known.
+        listed_at: When a list last showed it; 0 if none has.
+        status: Status in the cloud's list: starting, running or failed.
+        is_up: Whether an owner has reported it.
+        lease_expired: See `OwnerReport`, like the following two.
+        quarantined: See `OwnerReport`.
+        silent_s: See `OwnerReport`.
+    """
 
     __slots__ = (
         "id", "is_up", "lease_expired", "listed_at", "machine_type", "quarantined", "rented_at",
         "silent_s", "spot", "status", "zone",
     )  # fmt: skip
 
-    def __init__(self, id: str, build: str, zone: str, spot: bool, hired_at: float) -> None:
+    def __init__(self, id: str, machine_type: str, zone: str, spot: bool, rented_at: float) -> None:
         self.id = id
-        self.machine_type = build
+        self.machine_type = machine_type
         self.zone = zone
         self.spot = spot
-        self.rented_at = hired_at
+        self.rented_at = rented_at
         self.listed_at = 0.0
         self.status = "starting"
         self.is_up = False
@@ -62,96 +81,119 @@
 
     @property
     def pool(self) -> PoolId:
-        """The pool of machines like this one."""
+        """Pool to which the machine belongs."""
         return PoolId(self.machine_type, self.spot)
 
 
 class Inventory:
-    """Machines by name, those being returned with the reason, and recent losses by pool."""
+    """Machines that exist, returns, and recent losses.
+
+    Attributes:
+        machines: Machines by name.
+        returning: Machines to be returned, with the reason.
+        returned_at: When machines were returned, of those returned recently.
+        loss_trackers: Recent losses by pool.
+        leading_since: Since when this controller has led without a break.
+    """
+
+    def __init__(
+        self, ctx: Context, loss_window_s: float, mark_departed: Callable[[str], None]
+    ) -> None:
+        """Create an empty inventory.
 
-    def __init__(self, ctx: Context, loss_window: float, depart: Callable[[str], None]) -> None:
+        Args:
+            ctx: State of the core.
+            loss_window_s: Window over which the rate of losses is averaged.
+            mark_departed: Called with the name of each machine that was returned.
+        """
         self.ctx = ctx
-        self.loss_window_s = loss_window
-        self.mark_departed = depart
+        self.loss_window_s = loss_window_s
+        self.mark_departed = mark_departed
         self.leading_since = 0.0
         self.reset()
 
     def reset(self) -> None:
-        """Begin anew from reports and lists, as a new leader does."""
+        """Forget all machines; a new leader learns them from reports and lists."""
         self.machines: dict[str, RentedMachine] = {}
         self.returned_at: dict[str, float] = {}
         self.returning: dict[str, str] = {}
         self.loss_trackers: dict[PoolId, LossTracker] = {}
 
-    # What the cloud says
+    # The cloud's list and responses
 
-    def add(self, name: str, pool: PoolId, zone: str, hired_at: float) -> None:
-        """Note a machine that the cloud rented to us, unless it is known or was returned."""
+    def add(self, name: str, pool: PoolId, zone: str, rented_at: float) -> None:
+        """Add a rented machine, unless it is known or was returned."""
         if name not in self.machines and name not in self.returned_at:
-            self.machines[name] = RentedMachine(name, pool.machine_type, zone, pool.spot, hired_at)
+            self.machines[name] = RentedMachine(name, pool.machine_type, zone, pool.spot, rented_at)
+
+    def update_from_list(self, rows: Iterable[Listed], list_interval_s: float) -> None:
+        """Apply a complete machine list; machines missing for long enough count as lost.
 
-    def update_from_list(self, rows: Iterable[Listed], list_every_s: float) -> None:
-        """Note a whole machine list; what it lacks for long enough is lost."""
+        Args:
+            rows: All machines of the list.
+            list_interval_s: Time from one list to the next.
+        """
         ctx = self.ctx
-        lag = ctx.settings.params.cloud.list_lag_s
+        lag_s = ctx.settings.params.cloud.list_lag_s
         for row in rows:
             if row.name in self.returned_at:
                 continue
             if row.name not in self.machines:
                 pool = PoolId(row.build, row.spot)
-                self.add(row.name, pool, row.zone, ctx.now - row.held - lag)
-                log.info("machine %s is listed (%s)", row.name, row.status)
+                self.add(row.name, pool, row.zone, ctx.now - row.held - lag_s)
+                log.info("machine %s found in the cloud's list (%s)", row.name, row.status)
             machine = self.machines[row.name]
             machine.listed_at = ctx.now
             machine.status = row.status
         for machine in list(self.machines.values()):
-            unlisted = ctx.now - max(machine.listed_at, machine.rented_at + lag)
-            if unlisted > 2 * lag + 2 * list_every_s and not self._reports(machine):
+            missing_s = ctx.now - max(machine.listed_at, machine.rented_at + lag_s)
+            if missing_s > 2 * lag_s + 2 * list_interval_s and not self._is_reporting(machine):
                 log.info("machine %s is listed no more", machine.id)
-                self._lose(machine)
+                self._remove_unlisted(machine)
 
     def record_returned(self, names: Iterable[str]) -> None:
-        """Machines that were given back: they and everything on them are gone, which is proof."""
+        """Remove returned machines; the return proves that everything on them is gone."""
         for name in names:
             log.info("machine %s returned (%s)", name, self.returning.get(name, ""))
             self.returned_at[name] = self.ctx.now
             self.returning.pop(name, None)
             self.machines.pop(name, None)
             self.mark_departed(name)
-            self._tasks_are_gone(name)
+            self._record_tasks_gone(name)
 
-    # What owners say
+    # Reports of owners
 
     def update_from_owners(self) -> None:
-        """Bring what owners hear together with what the cloud lists."""
-        reports, current_owners = self._owner_reports()
-        cut_off = self._cut_off_zones(reports)
+        """Combine what owners know of their machines with the cloud's list."""
+        reports, current_owners = self._collect_reports()
+        partitioned_zones = self._find_partitioned_zones(reports)
         for machine in list(self.machines.values()):
             if machine.id in self.returned_at:
                 continue
             report = reports.get(machine.id)
             if report is not None:
-                self._apply(machine, report, machine.zone in cut_off)
+                self._apply_report(machine, report, machine.zone in partitioned_zones)
             else:
-                self._check_unheard(machine, current_owners, cut_off)
-        self._prove_orphans_gone(reports, current_owners, cut_off)
+                self._check_unreported(machine, current_owners, partitioned_zones)
+        self._prove_orphans_gone(reports, current_owners, partitioned_zones)
         for name, at in list(self.returned_at.items()):
-            if self.ctx.now - at > RETURNED_REMEMBERED_S:
+            if self.ctx.now - at > RETURNED_RETENTION_S:
                 del self.returned_at[name]
 
-    def _owner_reports(self) -> tuple[dict[str, OwnerReport], set[str]]:
-        """Reports on all machines that are heard of, and the owners that are up to date."""
+    def _collect_reports(self) -> tuple[dict[str, OwnerReport], set[str]]:
+        """Return what owners know of machines, and the owners whose knowledge is up to date."""
         ctx = self.ctx
         reports: dict[str, OwnerReport] = {}
         for own in ctx.machines.values():
             if not own.proven:
-                continue  # perhaps a late copy of a report, or a machine that does not hear us
+                # The report may be a late copy, or our responses may not reach the machine.
+                continue
             reports[own.id] = OwnerReport(ctx.now - own.heard, own.sick, own.lost, own.deaf)
             if not own.lost:
                 self.add(own.id, PoolId(own.build, own.spot), own.zone, ctx.now)
         current_owners = {str(ctx.me)}
         for peer in ctx.peers.values():
-            if ctx.now - peer.at > PEER_SUMMARY_MAX_AGE_S or peer.token != ctx.view.token:
+            if ctx.now - peer.at > MAX_PEER_SUMMARY_AGE_S or peer.token != ctx.view.token:
                 continue
             if peer.complete:
                 current_owners.add(peer.member)
@@ -164,18 +206,26 @@
                     self.add(other.id, PoolId(other.build, other.spot), other.zone, ctx.now)
         return reports, current_owners
 
-    def _apply(self, machine: RentedMachine, report: OwnerReport, cut_off: bool) -> None:
-        """Note an owner's report on a machine."""
+    def _apply_report(
+        self, machine: RentedMachine, report: OwnerReport, is_partitioned: bool
+    ) -> None:
+        """Apply an owner's report.
+
+        Args:
+            machine: Machine that the report is about.
+            report: The owner's report.
+            is_partitioned: Whether the machine's zone is probably partitioned from this one.
+        """
         machine.silent_s = report.silent_s
         machine.is_up = True
         if report.responses_lost:
-            # Its reports come, our answers do not arrive: nothing can be run there,
-            # and what ran there ended with its lease, or ends with the return.
-            self._give_up(machine, "does not hear us")
+            # Without responses the machine runs no new tasks. Its old tasks ended with its
+            # lease, or end with the return.
+            self._schedule_return(machine, "does not hear us")
         if report.lease_expired != machine.lease_expired:
             machine.lease_expired = report.lease_expired
-            self._count_loss(machine, report.lease_expired)
-        if report.lease_expired and not cut_off:
+            self._record_loss(machine, report.lease_expired)
+        if report.lease_expired and not is_partitioned:
             self._check_silent(machine)
         machine.quarantined = report.quarantined
         if (
@@ -183,167 +233,190 @@
             and not report.lease_expired
             and not self.ctx.view.on_machine(machine.id)
         ):
-            # What already runs on a faulty machine may well run on: seen, a
-            # replica of five minutes was ended by returning its machine.
-            self._give_up(machine, "sick")
+            # Only once it is empty: tasks that already run there, such as replicas, may well
+            # continue without a fault, and a return would end them.
+            self._schedule_return(machine, "sick")
 
-    def _check_unheard(
-        self, machine: RentedMachine, current_owners: set[str], cut_off: set[str]
+    def _check_unreported(
+        self, machine: RentedMachine, current_owners: set[str], partitioned_zones: set[str]
     ) -> None:
-        """Give up a machine that its owner does not know, once it should."""
+        """Schedule the return of a machine that failed, or that its owner should know by now."""
         ctx = self.ctx
         if machine.status == "failed":
-            self._give_up(machine, "failed")
+            self._schedule_return(machine, "failed")
             return
-        if machine.zone in cut_off or not self.is_settled(machine.id):
+        if machine.zone in partitioned_zones or not self.is_confirmation_period_over(machine.id):
             return
         if ctx.owner(machine.id, machine.zone) not in current_owners:
             return
         if machine.is_up:
-            self._give_up(machine, "not heard under this roster")
+            self._schedule_return(machine, "not heard under this roster")
         elif ctx.now - machine.rented_at > 2.0 * self._boot_s(machine) + 20.0:
-            self._give_up(machine, "never up")
+            self._schedule_return(machine, "never up")
 
-    def _cut_off_zones(self, reports: dict[str, OwnerReport]) -> set[str]:
-        """Zones of which most machines went silent together: most likely cut off, not dead.
+    def _find_partitioned_zones(self, reports: dict[str, OwnerReport]) -> set[str]:
+        """Return zones of which most machines are silent: probably a network partition.
 
-        Seen: a zone was cut off for 40 s, and half of the fleet was returned and rented
-        anew, while its own controllers kept all that ran there. So its machines are waited
-        for as long as those controllers may renew leases (until orphans are proven gone).
-        A machine that is dead after all is listed so, or no more, after half a minute.
+        The machines of such a zone are not returned while the zone's own controllers may still
+        renew their leases (see `_prove_orphans_gone`). Otherwise a partition of 40 s makes the
+        leader return half of the fleet and rent it anew, although all tasks there continue
+        under these controllers. Machines that are in fact dead are shown as failed by the
+        cloud's list, or missing from it, after half a minute.
         """
         ctx = self.ctx
-        if ctx.now - ctx.token_since > self._longest_renewal():
+        if ctx.now - ctx.token_since > self._max_renewal_s():
             return set()
-        up: dict[str, int] = {}
-        heard: dict[str, int] = {}
+        up_by_zone: dict[str, int] = {}
+        live_by_zone: dict[str, int] = {}
         for machine in self.machines.values():
             if machine.id in self.returning:
                 continue
             if not (machine.is_up or machine.status == "running"):
                 continue
-            up[machine.zone] = up.get(machine.zone, 0) + 1
+            up_by_zone[machine.zone] = up_by_zone.get(machine.zone, 0) + 1
             report = reports.get(machine.id)
             if report is not None and not report.lease_expired:
-                heard[machine.zone] = heard.get(machine.zone, 0) + 1
-        return {z for z, n in up.items() if n >= PROBABLE_CUT and 2 * heard.get(z, 0) < n}
+                live_by_zone[machine.zone] = live_by_zone.get(machine.zone, 0) + 1
+        return {
+            zone
+            for zone, up_count in up_by_zone.items()
+            if up_count >= MIN_MACHINES_FOR_PARTITION and 2 * live_by_zone.get(zone, 0) < up_count
+        }
 
     def _prove_orphans_gone(
-        self, reports: dict[str, OwnerReport], current_owners: set[str], cut_off: set[str]
+        self,
+        reports: dict[str, OwnerReport],
+        current_owners: set[str],
+        partitioned_zones: set[str],
     ) -> None:
-        """Places on machines that nobody hears and no list shows: prove them gone."""
+        """Prove tasks gone that are placed on machines which no owner reports.
+
+        They are gone once no former owner can have renewed the machine's lease. Before that,
+        outside partitioned zones, the machine's return is scheduled, which is a proof as well.
+        """
         ctx = self.ctx
-        if not self.is_settled():
+        if not self.is_confirmation_period_over():
             return
         for name in ctx.view.occupied():
             report = reports.get(name)
             if report is not None and not (report.lease_expired and name not in self.machines):
-                # Its owner hears it, or will prove its silence, or we return it. But of a
-                # lost machine that showed no token of this roster, silence proves nothing;
-                # and if it was returned under a former leader, nobody else asks for proof.
-                # Seen in a drawn day of the tests: a gang of two never started.
+                # The owner receives its reports, or will prove from its silence that the tasks
+                # are gone, or the leader returns the machine. The exception: a machine whose
+                # lease expired before it confirmed the token of this roster. Its silence
+                # proves nothing, and if a former leader returned it, nobody else provides a
+                # proof. Its tasks would keep their places for ever, and a gang would never
+                # start.
                 continue
             placed = [e for _, e in ctx.view.on_machine(name) if e.stage != DEALT]
             if not placed:
                 continue
             if ctx.owner(name, placed[0].zone) not in current_owners:
                 continue
-            if not self.is_settled(name):
+            if not self.is_confirmation_period_over(name):
                 continue
-            if self.leading_duration_s(name) > self._longest_renewal():
-                # Longer than any former owner may have gone on renewing its lease.
-                self._tasks_are_gone(name)
-            elif name not in self.returning and placed[0].zone not in cut_off:
+            if self.leading_duration_s(name) > self._max_renewal_s():
+                self._record_tasks_gone(name)
+            elif name not in self.returning and placed[0].zone not in partitioned_zones:
                 self.returning[name] = "unheard of, with tasks"
 
     def _check_silent(self, machine: RentedMachine) -> None:
-        """A machine whose lease is over. Its tasks are gone; the machine may not be.
+        """Schedule the return of a machine whose lease has expired, once it was silent for long.
 
-        Seen: a dozen machines were cut off for a while, returned, and rented and
-        booted again while the old ones would have been back. A dead machine stays
-        in the list for half a minute and costs nothing; so the return waits, unless
-        it is needed as proof that tasks are gone.
+        Its tasks have ended, but the machine may come back. Without the delay, a dozen machines
+        behind a short partition are returned, and new ones boot when the old ones would have
+        been back. Waiting costs nothing for a dead machine, which the cloud lists for half a
+        minute. There is no delay where the return is needed to prove that tasks are gone.
         """
-        lease = self.ctx.settings.params.workers.lease_s
+        lease_s = self.ctx.settings.params.workers.lease_s
         has_tasks = bool(self.ctx.view.on_machine(machine.id))
-        if machine.silent_s > lease * DRIFT + 3.0 and has_tasks:
-            self._give_up(machine, "silent, with tasks")
-        elif machine.silent_s > lease + SILENT_KEPT_S or machine.status == "failed":
-            self._give_up(machine, "silent")
+        if machine.silent_s > lease_s * DRIFT + 3.0 and has_tasks:
+            self._schedule_return(machine, "silent, with tasks")
+        elif machine.silent_s > lease_s + SILENT_RETENTION_S or machine.status == "failed":
+            self._schedule_return(machine, "silent")
 
     # Losses and returns
 
-    def _give_up(self, machine: RentedMachine, why: str) -> None:
+    def _schedule_return(self, machine: RentedMachine, reason: str) -> None:
         if machine.id not in self.returning:
-            log.info("machine %s given up: %s", machine.id, why)
-            self.returning[machine.id] = why
+            log.info("machine %s will be returned: %s", machine.id, reason)
+            self.returning[machine.id] = reason
+
+    def _record_loss(self, machine: RentedMachine, is_lost: bool) -> None:
+        """Record the loss of a machine, if it was lost.
 
-    def _count_loss(self, machine: RentedMachine, lost: bool) -> None:
-        """What is silent when a leader begins was lost, or returned, before its time."""
-        if lost and machine.is_up and self.ctx.now - self.ctx.token_since > NEW_LEADER_S:
+        Machines that are silent when a controller begins to lead were lost, or returned, before.
+        """
+        if is_lost and machine.is_up and self.ctx.now - self.ctx.token_since > TAKEOVER_GRACE_S:
             losses = self.loss_trackers.setdefault(machine.pool, LossTracker(self.loss_window_s))
             losses.record_loss(self.ctx.now)
 
-    def _lose(self, machine: RentedMachine) -> None:
+    def _remove_unlisted(self, machine: RentedMachine) -> None:
+        """Remove a machine that the list lacks; a return is to prove that its tasks are gone."""
         self.machines.pop(machine.id, None)
-        self._count_loss(machine, not machine.lease_expired)
+        self._record_loss(machine, not machine.lease_expired)
         if self.ctx.view.on_machine(machine.id):
             self.returning.setdefault(machine.id, "lost, with tasks")
 
-    def _tasks_are_gone(self, machine: str) -> None:
-        """Write down that a machine's tasks are proven gone."""
+    def _record_tasks_gone(self, machine: str) -> None:
+        """Write into the jobs' records that a machine's tasks are proven gone."""
         ctx = self.ctx
-        for job, entry in ctx.view.on_machine(machine):
+        for job_id, entry in ctx.view.on_machine(machine):
             if entry.stage == DEALT:
                 continue
             change = jobs.gone(entry.index, machine, entry.attempt)
-            edit = Edit(job_key(job), change, fence=ctx.view.token, tag=f"gone{entry.index}")
+            edit = Edit(job_key(job_id), change, fence=ctx.view.token, tag=f"gone{entry.index}")
             ctx.queue.propose(edit)
 
     # Time
 
     def is_recently_handed_over(self, machine: RentedMachine) -> bool:
-        """Was it handed over so lately that its new owner may not have told us of it yet?"""
+        """Return whether a handover is so recent that the new owner may not report it yet."""
         handed_over_at = self.ctx.ownership.seen_at(machine.id)
-        return not machine.lease_expired and self.ctx.now - handed_over_at < SETTLING_S
+        return not machine.lease_expired and self.ctx.now - handed_over_at < TOKEN_CONFIRMATION_S
 
     def is_boot_overdue(self, machine: RentedMachine) -> bool:
-        """Should it be up by now? Then nothing waits for it, and another is rented.
+        """Return whether a booting machine should be up by now.
 
-        Seen: one machine in sixteen took several times its boot time, and array tasks
-        that counted on those waited for minutes beside a pool that seemed large enough.
+        Such a machine does not count as capacity, and another one is rented: one machine in
+        sixteen takes several times its boot time, and array tasks that count on it wait for
+        minutes beside a pool that seems large enough.
         """
-        age = self.ctx.now - machine.rented_at
-        return not machine.is_up and age > LATE_BOOTS * self._boot_s(machine)
+        age_s = self.ctx.now - machine.rented_at
+        return not machine.is_up and age_s > OVERDUE_BOOT_FACTOR * self._boot_s(machine)
 
     def _boot_s(self, machine: RentedMachine) -> float:
-        kind = self.ctx.kind(machine.machine_type)
-        return kind.boot if kind else DEFAULT_BOOT_S
+        type_info = self.ctx.kind(machine.machine_type)
+        return type_info.boot if type_info else DEFAULT_BOOT_S
 
-    def _reports(self, machine: RentedMachine) -> bool:
-        """True while the machine's owner hears from it."""
+    def _is_reporting(self, machine: RentedMachine) -> bool:
+        """Return whether the machine's owner receives its reports."""
         return machine.is_up and machine.silent_s < self.ctx.alive_within()
 
-    def is_settled(self, machine: str = "") -> bool:
-        """Have we led for so long that every worker that lives has shown our token?
+    def is_confirmation_period_over(self, machine: str = "") -> bool:
+        """Return whether every live worker should have confirmed the fencing token by now.
 
-        Of a machine: its own, which a handover has raised after the roster's.
+        Args:
+            machine: Name of a machine, if the question is whether this one should have
+                confirmed its own token, which a handover raises above the roster's.
         """
-        lease = self.ctx.settings.params.workers.lease_s
-        return self.leading_duration_s(machine) > lease * DRIFT + SETTLING_S
+        lease_s = self.ctx.settings.params.workers.lease_s
+        return self.leading_duration_s(machine) > lease_s * DRIFT + TOKEN_CONFIRMATION_S
 
     def leading_duration_s(self, machine: str = "") -> float:
-        """For how long this node has led, under this roster and without a break.
+        """Return for how long this controller has led under this roster without a break.
 
-        Of a machine: and since its last handover, which is a change of owner like a roster.
+        Time without the state service does not count. Owners keep their workers meanwhile, and
+        machines that changed owners just before may not have confirmed the new token. If it
+        did count, an outage of a minute after a new roster would pass for a minute of silence,
+        and tasks (of eight machines in one such outage) would be started elsewhere while they
+        still run.
 
-        Time without the state service does not count: owners keep their workers meanwhile,
-        and machines that changed hands just before may not have shown the new token. Seen
-        in a hunt: a minute's outage after a new roster was taken for a minute's silence,
-        and eight machines' tasks were started elsewhere while they ran.
+        Args:
+            machine: Name of a machine, if the duration is to begin no earlier than its last
+                handover, which changes the owner as a new roster does.
         """
         return self.ctx.now - max(self.ctx.token_of_since(machine), self.leading_since)
 
-    def _longest_renewal(self) -> float:
-        """For how long after a new roster a former owner may still have renewed leases."""
+    def _max_renewal_s(self) -> float:
+        """Return for how long after a new roster a former owner may have renewed leases."""
         return self.ctx.settings.params.workers.cancel_s * DRIFT + 5.0
