--- a/coursefold/coordination/demand.py
+++ b/coursefold/coordination/demand.py
@@ -11,14 +11,14 @@
 
 from coursefold.coordination import gangs
 from coursefold.coordination.placement import (
-    NO_MARKET,
-    Market,
-    Picker,
-    Place,
-    Refused,
-    Room,
-    fits_type,
-    share,
+    EMPTY_PRICE_INDEX,
+    FailedSearches,
+    MachineCapacity,
+    MachineOffering,
+    PlacementSearch,
+    PriceIndex,
+    compute_machine_share,
+    fits_machine_type,
 )
 from coursefold.coordination.queueing import find_optimal_servers
 from coursefold.protocol.wire import Catalog, Job, MachineType
@@ -47,7 +47,7 @@
 
 def slots_of_task(spec: Job, type_info: MachineType) -> float:
     """Return the number of slots that one task of the job takes on a machine of the type."""
-    return share(spec, type_info) * slots_of_machine(type_info)
+    return compute_machine_share(spec, type_info) * slots_of_machine(type_info)
 
 
 class RunTimes:
@@ -227,7 +227,7 @@
     fetch_s = spec.image_gb / type_info.fetch if type_info.fetch else 0.0
     repeated_share = losses_per_s * (min(spec.checkpoint, run_s) if spec.checkpoint else run_s)
     overhead_factor = 1.0 + (fetch_s + 0.3 * type_info.boot) / max(run_s, 10.0) + repeated_share
-    return hourly * share(spec, type_info) * overhead_factor
+    return hourly * compute_machine_share(spec, type_info) * overhead_factor
 
 
 class DemandPlanner:
@@ -244,13 +244,13 @@
         catalog: Catalog,
         run_times: RunTimes,
         now: float,
-        blocked_until: dict[Place, float],
+        blocked_until: dict[MachineOffering, float],
         loss_rates: dict[PoolId, float],
         window_s: float,
-        price_index: Market = NO_MARKET,
+        price_index: PriceIndex = EMPTY_PRICE_INDEX,
     ) -> None:
         self.window_s, self.price_index = window_s, price_index
-        self.refused = Refused()
+        self.failed_searches = FailedSearches()
         self.catalog, self.run_times, self.now = catalog, run_times, now
         self.blocked_until, self.loss_rates = blocked_until, loss_rates
         self.pools = {
@@ -265,17 +265,22 @@
         Such a task uses what tasks with accelerators leave free. It neither counts as use of
         the machine nor makes the pool grow, unless it finds no free capacity at all.
         """
-        return not spec.gpus and type_info.gpus > 0 and bool(self.price_index.accelerated)
+        return not spec.gpus and type_info.gpus > 0 and bool(self.price_index.accelerator_jobs)
 
     def eligible_pools(self, spec: Job) -> list[PoolId]:
         """Return the pools that the job may use, the cheapest first."""
         run_s = self.run_times.mean_run_s(spec, self.now) if spec.shape != "standing" else 600.0
         priced = []
         for pool, demand in self.pools.items():
-            if fits_type(spec, demand.type_info) and (spec.spot or not pool.spot):
+            if fits_machine_type(spec, demand.type_info) and (spec.spot or not pool.spot):
                 loss_rate = self.loss_rates.get(pool, 0.0)
                 price = effective_price(spec, demand.type_info, pool.spot, run_s, loss_rate)
-                priced.append((price + self.price_index.displaced(spec, demand.type_info), pool))
+                priced.append(
+                    (
+                        price + self.price_index.estimate_displacement_cost(spec, demand.type_info),
+                        pool,
+                    )
+                )
         return [pool for _, pool in sorted(priced)]
 
     def open_zones(self, pool: PoolId, spec: Job) -> list[str]:
@@ -284,7 +289,8 @@
         return [
             zone
             for zone in zones
-            if self.blocked_until.get(Place(pool.machine_type, zone, pool.spot), 0.0) <= self.now
+            if self.blocked_until.get(MachineOffering(pool.machine_type, zone, pool.spot), 0.0)
+            <= self.now
         ]
 
     def count_arrival(self, spec: Job, task_count: int) -> None:
@@ -335,14 +341,18 @@
             demand.batch_slots += task_slots
             demand.batch_slot_s += task_slots * self.run_times.mean_run_s(spec, self.now)
 
-    def pack_waiting(self, unplaced_jobs: Iterable[UnplacedTasks], capacities: list[Room]) -> None:
+    def pack_waiting(
+        self, unplaced_jobs: Iterable[UnplacedTasks], capacities: list[MachineCapacity]
+    ) -> None:
         """Count waiting tasks: first on free and booting machines, the rest as growth.
 
         Args:
             unplaced_jobs: Waiting tasks in queue order.
             capacities: Machines that are up or booting; what the tasks take is reserved there.
         """
-        gang_capacity = gangs.Floor(capacity for capacity in capacities if not capacity.lent)
+        gang_capacity = gangs.GangCandidates(
+            capacity for capacity in capacities if not capacity.reserved_for_gang
+        )
         for unplaced in unplaced_jobs:
             spec = unplaced.spec
             if spec.shape == "ensemble" and unplaced.task_count > 1:
@@ -351,20 +361,20 @@
             tasks_by_zone = dict(unplaced.tasks_by_zone)
             search = (
                 None
-                if self.refused.covers(spec)
-                else Picker(spec, capacities, tasks_by_zone, market=self.price_index)
+                if self.failed_searches.covers(spec)
+                else PlacementSearch(spec, capacities, tasks_by_zone, price_index=self.price_index)
             )
             for placed_count in range(unplaced.task_count):
-                capacity = search.take() if search else None
+                capacity = search.reserve_best() if search else None
                 if capacity is None:
                     if not (spec.apart or spec.together):
-                        self.refused.add(spec)
+                        self.failed_searches.add(spec)
                     remaining = unplaced.task_count - placed_count
                     remaining -= self._count_relieved(unplaced, remaining)
                     if remaining > 0:
                         self._request_growth(unplaced, remaining, tasks_by_zone)
                     break
-                self._count_queued(spec, PoolId(capacity.kind.name, capacity.spot))
+                self._count_queued(spec, PoolId(capacity.type_info.name, capacity.spot))
 
     def _count_relieved(self, unplaced: UnplacedTasks, task_count: int) -> int:
         """Return how many waiting tasks need no new machine: busy slots become free in time.
@@ -402,25 +412,27 @@
         if spec.shape == "standing":
             demand.standing_slots += task_slots
 
-    def _pack_gang(self, unplaced: UnplacedTasks, gang_capacity: gangs.Floor) -> None:
+    def _pack_gang(self, unplaced: UnplacedTasks, gang_capacity: gangs.GangCandidates) -> None:
         """Count a waiting gang: on free and booting machines if all of it fits there.
 
         Otherwise the cheapest pool that can grow is to have enough machines for it in one
         zone, the one that has most of them already.
         """
-        capacities = gang_capacity.holding(unplaced.spec)
-        plan = gangs.fill(unplaced.spec, capacities, self.price_index)
+        capacities = gang_capacity.find_fitting(unplaced.spec)
+        plan = gangs.find_gang_placement(unplaced.spec, capacities, self.price_index)
         if plan is not None:
             for capacity in plan:
-                capacity.take(unplaced.spec)
-                self._count_queued(unplaced.spec, PoolId(capacity.kind.name, capacity.spot))
+                capacity.reserve(unplaced.spec)
+                self._count_queued(unplaced.spec, PoolId(capacity.type_info.name, capacity.spot))
             return
         for pool in self.eligible_pools(unplaced.spec):
             open_zones = self.open_zones(pool, unplaced.spec)
             if not open_zones:
                 continue
             usable_by_zone = {
-                zone: sum(1 for r in capacities if r.zone == zone and (r.kind.name, r.spot) == pool)
+                zone: sum(
+                    1 for r in capacities if r.zone == zone and (r.type_info.name, r.spot) == pool
+                )
                 for zone in open_zones
             }
             zone = max(open_zones, key=lambda z: (usable_by_zone[z], z))
@@ -432,8 +444,10 @@
                 if not to_reserve:
                     break
                 if capacity.zone == zone:
-                    capacity.take(unplaced.spec)
-                    self._count_queued(unplaced.spec, PoolId(capacity.kind.name, capacity.spot))
+                    capacity.reserve(unplaced.spec)
+                    self._count_queued(
+                        unplaced.spec, PoolId(capacity.type_info.name, capacity.spot)
+                    )
                     to_reserve -= 1
             missing = unplaced.task_count - min(usable_by_zone[zone], unplaced.task_count)
             demand.gang_slots += missing * task_slots
--- a/coursefold/coordination/fleet.py
+++ b/coursefold/coordination/fleet.py
@@ -23,7 +23,7 @@
 from coursefold.coordination.context import Context
 from coursefold.coordination.inventory import SPARE_REASON, Inventory
 from coursefold.coordination.leader import Leader
-from coursefold.coordination.placement import Place
+from coursefold.coordination.placement import MachineOffering
 from coursefold.coordination.pools import MAX_PERIOD_S, PoolControl
 from coursefold.coordination.rentals import RentalManager
 from coursefold.protocol.wire import Catalog, Listed, MachineList, MalformedError, decode
@@ -160,7 +160,7 @@
             return
         if ctx.now - self.inventory_updated_at >= INVENTORY_INTERVAL_S:
             self._update_inventory()
-        self.leader.blocked = {
+        self.leader.blocked_offerings = {
             offering for offering, until in self.rentals.blocked_until.items() if until > ctx.now
         }
         self.rentals.send_pending(self.lists_read)
@@ -182,8 +182,8 @@
     def _update_inventory(self) -> None:
         self.inventory_updated_at = self.ctx.now
         self.inventory.update_from_owners()
-        self.leader.booting = [
-            Place(machine.machine_type, machine.zone, machine.spot)
+        self.leader.booting_offerings = [
+            MachineOffering(machine.machine_type, machine.zone, machine.spot)
             for machine in self.inventory.machines.values()
             if not machine.is_up and machine.id not in self.inventory.returning
         ]
@@ -231,13 +231,13 @@
             target == machine for target, _ in ctx.pending.values()
         ):
             self.inventory.returning.pop(machine, None)
-            self.leader.wanted.pop(machine, None)
+            self.leader.requested_machines.pop(machine, None)
             return False
         own = ctx.machines.get(machine)
         if own is not None:
             own.lent_until = ctx.now + RETURN_RESERVATION_S
             return True
-        self.leader.wanted[machine] = ctx.now + RETURN_RESERVATION_S
+        self.leader.requested_machines[machine] = ctx.now + RETURN_RESERVATION_S
         return any(
             ctx.now - peer.at < MAX_SUMMARY_AGE_S
             and machine in peer.machines
--- a/coursefold/coordination/inventory.py
+++ b/coursefold/coordination/inventory.py
@@ -363,7 +363,7 @@
         for job_id, entry in ctx.view.on_machine(machine):
             if entry.stage == DEALT:
                 continue
-            change = jobs.gone(entry.index, machine, entry.attempt)
+            change = jobs.mark_gone(entry.index, machine, entry.attempt)
             edit = Edit(job_key(job_id), change, fence=ctx.view.token, tag=f"gone{entry.index}")
             ctx.queue.propose(edit)
 
--- a/coursefold/coordination/pools.py
+++ b/coursefold/coordination/pools.py
@@ -20,10 +20,10 @@
 from coursefold.coordination.leader import Leader
 from coursefold.coordination.loss_tracker import LossTracker
 from coursefold.coordination.pid import Gains, compute_pid
-from coursefold.coordination.placement import Place, Room
-from coursefold.coordination.quota import Quota
+from coursefold.coordination.placement import MachineCapacity, MachineOffering
+from coursefold.coordination.quota import QuotaTracker
 from coursefold.coordination.rentals import RentalManager, parse_pool_key
-from coursefold.coordination.waiting import Waiting
+from coursefold.coordination.waiting import QueuedJob
 from coursefold.policy import Adjustment
 from coursefold.policy.model import Env
 from coursefold.protocol.wire import Catalog, Job
@@ -62,7 +62,7 @@
     def reset(self) -> None:
         """Forget all state, as a new leader does; the integrals start at zero."""
         self.pid_states: dict[PoolId, tuple[float, float]] = {}
-        self.run_times = self.leader.runs = RunTimes()
+        self.run_times = self.leader.run_times = RunTimes()
         self.recent_arrivals: dict[str, tuple[float, Job]] = {}
         self.active_rules: dict[PoolId, tuple[str, ...]] = {}
         self.demands: dict[PoolId, PoolDemand] = {}
@@ -129,29 +129,31 @@
     def _list_unplaced(self) -> list[UnplacedTasks]:
         """Return the waiting tasks in queue order, within their teams' limits."""
         ctx = self.ctx
-        quota = Quota(ctx.settings.params.teams, ctx.view.usage)
+        quota = QuotaTracker(ctx.settings.params.teams, ctx.view.usage)
         unplaced_jobs: list[UnplacedTasks] = []
-        for queued in self.leader.queue(quota):
-            count = self._count_allowed(queued, quota)
+        for queued_job in self.leader.list_queued_jobs(quota):
+            count = self._count_allowed(queued_job, quota)
             if count <= 0:
                 continue
-            quota.take(queued.job.spec, count)
+            quota.add_usage(queued_job.job.spec, count)
             tasks_by_zone: dict[str, int] = {}
-            for entry in queued.job.entries:
+            for entry in queued_job.job.entries:
                 tasks_by_zone[entry.zone] = tasks_by_zone.get(entry.zone, 0) + 1
             unplaced_jobs.append(
-                UnplacedTasks(queued.job.spec, count, tasks_by_zone, queued.slack, queued.age)
+                UnplacedTasks(
+                    queued_job.job.spec, count, tasks_by_zone, queued_job.slack_s, queued_job.age_s
+                )
             )
         return unplaced_jobs
 
-    def _count_allowed(self, queued: Waiting, quota: Quota) -> int:
+    def _count_allowed(self, queued_job: QueuedJob, quota: QuotaTracker) -> int:
         """Return how many of a job's waiting tasks fit its record and its team's limit."""
-        spec = queued.job.spec
-        count = min(queued.job.waiting_count, self.leader.most_entries())
+        spec = queued_job.job.spec
+        count = min(queued_job.job.waiting_count, self.leader.max_entries())
         # A gang for which its team's limit is reserved needs machines as soon as usage drops.
-        if self.leader.keeps_quota(queued):
+        if self.leader.reserves_quota(queued_job):
             return count
-        while count > 0 and not quota.fits(spec, count):
+        while count > 0 and not quota.fits_limit(spec, count):
             count = count - 1 if spec.shape == "array" else 0
         return count
 
@@ -162,7 +164,7 @@
                 for spec in self.ctx.view.load(name).specs:
                     planner.count_running(spec, machine.pool)
 
-    def current_and_booting_capacity(self) -> list[Room]:
+    def current_and_booting_capacity(self) -> list[MachineCapacity]:
         """Return what is free on machines that are up, and machines that will be up soon."""
         ctx = self.ctx
         inventory = self.inventory
@@ -175,13 +177,15 @@
             if machine.is_up and not inventory.is_recently_handed_over(machine):
                 continue
             if type_info and not inventory.is_boot_overdue(machine):
-                capacities.append(Room(machine.id, type_info, machine.zone, machine.spot, "", 0))
+                capacities.append(
+                    MachineCapacity(machine.id, type_info, machine.zone, machine.spot, "", 0)
+                )
         for capacity in capacities:
-            if capacity.lent and capacity.id in self.leader.wanted:
-                capacity.lent = False
+            if capacity.reserved_for_gang and capacity.id in self.leader.requested_machines:
+                capacity.reserved_for_gang = False
             if ctx.ownership.move(capacity.id) is not None:
                 # The machine stays in the cell, so its handover is no reason to rent another.
-                capacity.draining = False
+                capacity.is_unschedulable = False
         return capacities
 
     # The control loop of one pool
@@ -191,7 +195,7 @@
         target = demand.target_slots(self.parameters.eta)
         size = demand.machine_count * demand.slots_per_machine
         is_booting = (pool.machine_type, pool.spot) in {
-            (machine_type, spot) for machine_type, _, spot in self.leader.booting
+            (machine_type, spot) for machine_type, _, spot in self.leader.booting_offerings
         }
         error = target - size
         last_error, integral = self.pid_states.get(pool, (0.0, 0.0))
@@ -256,7 +260,7 @@
         idle_times_s = [
             ctx.now - capacity.idle_since
             for capacity in ctx.rooms()
-            if (capacity.kind.name, capacity.spot) == pool and capacity.tasks == 0
+            if (capacity.type_info.name, capacity.spot) == pool and capacity.task_count == 0
         ]
         env: Env = {
             "lambda": demand.arrived_slots / demand.window_s,
@@ -285,7 +289,7 @@
         zones = [
             zone
             for zone in demand.type_info.zones
-            if not self.rentals.is_blocked(Place(pool.machine_type, zone, pool.spot))
+            if not self.rentals.is_blocked(MachineOffering(pool.machine_type, zone, pool.spot))
         ]
         if not zones:
             return
@@ -328,7 +332,7 @@
             if machine.pool == pool
             and machine.id not in inventory.returning
             and machine.id in capacities
-            and capacities[machine.id].tasks == 0
+            and capacities[machine.id].task_count == 0
             and ctx.now - capacities[machine.id].idle_since > self.parameters.idle
             and not ctx.view.on_machine(machine.id)
         ]
--- a/coursefold/coordination/rentals.py
+++ b/coursefold/coordination/rentals.py
@@ -19,7 +19,7 @@
 from coursefold.coordination.context import Context
 from coursefold.coordination.demand import PoolId
 from coursefold.coordination.inventory import Inventory
-from coursefold.coordination.placement import Place
+from coursefold.coordination.placement import MachineOffering
 from coursefold.protocol.wire import Boxes, decode
 from coursefold.storage import codec
 from coursefold.storage.edits import Edit, NotApplicableError, Result
@@ -63,8 +63,8 @@
 
     def reset(self) -> None:
         """Forget blocked offerings and all requests, as a new leader does."""
-        self.blocked_until: dict[Place, float] = {}
-        self.refusal_counts: dict[Place, int] = {}
+        self.blocked_until: dict[MachineOffering, float] = {}
+        self.refusal_counts: dict[MachineOffering, int] = {}
         self.begin_term()
 
     def begin_term(self) -> None:
@@ -72,7 +72,7 @@
         self.in_flight: set[str] = set()
         self.answered: set[str] = set()
 
-    def is_blocked(self, offering: Place) -> bool:
+    def is_blocked(self, offering: MachineOffering) -> bool:
         """Return whether the cloud recently had no capacity for the offering."""
         return self.blocked_until.get(offering, 0.0) > self.ctx.now
 
@@ -148,7 +148,7 @@
                 "rental request %s: refused with status %d in %s %s",
                 rental.name, status, pool, rental.zone,
             )  # fmt: skip
-            self._block(Place(pool.machine_type, rental.zone, pool.spot))
+            self._block(MachineOffering(pool.machine_type, rental.zone, pool.spot))
             self._write(pool, rental.name, None)
 
     def _add_machines(self, pool: PoolId, rental: Hire, machines: list[str]) -> None:
@@ -158,14 +158,14 @@
             "hire %s: %d of %d in %s %s: %s",
             rental.name, len(machines), rental.count, pool, rental.zone, ",".join(machines),
         )  # fmt: skip
-        offering = Place(pool.machine_type, rental.zone, pool.spot)
+        offering = MachineOffering(pool.machine_type, rental.zone, pool.spot)
         if len(machines) < rental.count:
             self._block(offering)
         else:
             self.refusal_counts.pop(offering, None)
         self._write(pool, rental.name, msgspec.structs.replace(rental, machines=machines))
 
-    def _block(self, offering: Place) -> None:
+    def _block(self, offering: MachineOffering) -> None:
         """Pause requests for an offering without capacity, longer after repeated refusals."""
         refusals = self.refusal_counts.get(offering, 0)
         self.refusal_counts[offering] = refusals + 1
