--- a/coursefold/coordination/demand.py
+++ b/coursefold/coordination/demand.py
@@ -211,7 +211,7 @@
         return max(optimum + self.standing_slots, needed)
 
 
-def effective_price(
+def compute_effective_price(
     spec: Job, type_info: MachineType, spot: bool, run_s: float, losses_per_s: float
 ) -> float:
     """Return the hourly price of one task, with its share of boot, image fetch and lost work.
@@ -274,7 +274,7 @@
         for pool, demand in self.pools.items():
             if fits_machine_type(spec, demand.type_info) and (spec.spot or not pool.spot):
                 loss_rate = self.loss_rates.get(pool, 0.0)
-                price = effective_price(spec, demand.type_info, pool.spot, run_s, loss_rate)
+                price = compute_effective_price(spec, demand.type_info, pool.spot, run_s, loss_rate)
                 priced.append(
                     (
                         price + self.price_index.estimate_displacement_cost(spec, demand.type_info),
