--- a/coursefold/cells/edits.py
+++ b/coursefold/cells/edits.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from coursefold.cells.messages import GuestState, Handle, Offer, Ranges
-from coursefold.coordination.jobs import settle
+from coursefold.coordination.jobs import end_if_complete
 from coursefold.storage import records
 from coursefold.storage.cell_records import CellLink, Delegation, DelegationStage, Guest, GuestStage
 from coursefold.storage.edits import Change, DeleteKey, EditResult, NotApplicableError
@@ -150,7 +150,7 @@
         if told is not None:
             done = [r for r in merged(job.done_ranges, told.done) if r[1] < job.spec.task_count]
             job = replace(job, done_ranges=done, attempt=max(job.attempt, told.attempt))
-        return settle(replace(job, delegation=back))
+        return end_if_complete(replace(job, delegation=back))
 
     return change
 
@@ -239,7 +239,7 @@
         ):
             raise NotApplicableError("revoked")
         kept = [entry for entry in job.entries if entry.stage != records.ASSIGNED]
-        return settle(replace(job, status=records.CANCELLED, entries=kept))
+        return end_if_complete(replace(job, status=records.CANCELLED, entries=kept))
 
     return change
 
--- a/coursefold/coordination/context.py
+++ b/coursefold/coordination/context.py
@@ -1,10 +1,10 @@
-"""What every part of the core shares: settings, the view, time, and the outbox."""
+"""State shared by all parts of the core: settings, the view, the time and pending effects."""
 
 from coursefold.coordination.effects import Effect
-from coursefold.coordination.grants import GrantClock
+from coursefold.coordination.grants import GrantExpiry
 from coursefold.coordination.ownership import OwnershipTable
-from coursefold.coordination.parts import owner
-from coursefold.coordination.placement import Market, Room
+from coursefold.coordination.placement import MachineCapacity, PriceIndex
+from coursefold.coordination.rendezvous import hash_owner
 from coursefold.policy import Policy
 from coursefold.protocol.ids import JobId, MemberName, MonotonicTime, WallTime
 from coursefold.protocol.wire import Catalog, Job, MachineType, TaskReport
@@ -13,290 +13,405 @@
 from coursefold.storage.records import MemberRecord, Roster
 from coursefold.storage.view import View
 
-MARKET_S = 3.0
-OWNERS = 20_000  # machines whose owner is remembered
-NEWS_AGE_S = 8.0  # news of the state service that are older are no ground for decisions
-KEPT_S = 1.0  # a lease that we renew ends this long before a promised cancellation has to hold
-DRIFT = CLOCK_DRIFT
+PRICE_INDEX_REFRESH_S = 3.0
+MAX_CACHED_OWNERS = 20_000  # machines
+MAX_VIEW_AGE_S = 8.0  # no decisions are based on an older view of the state service
+RENEWAL_MARGIN_S = 1.0  # between a renewed lease's end and a confirmed cancellation's deadline
+LEASE_DRIFT_FACTOR = CLOCK_DRIFT
 
 
 class Machine:
-    """A worker in our part, as its reports show it."""
-
-    def __init__(self, id: str, build: str, zone: str, spot: bool) -> None:
-        self.id, self.build, self.zone, self.spot = id, build, zone, spot
-        self.addr = ""
+    """A worker that this controller owns, as its reports show it.
+
+    Attributes:
+        address: The worker's own address for commands, as `host:port`.
+        session: The worker's session number, as it reports it.
+        sequence: The number of the last report within the session; -1 before the first.
+        token: The fencing token that the last report showed.
+        last_report_at: When the last report was received.
+        last_response_at: When a report was last accepted, which renews the worker's lease.
+        recall_at: When the cloud takes the machine back; None if not announced.
+        tasks: The tasks of the last report, by job and task index.
+        running_since: When each attempt was first reported as running, by job, index, attempt.
+        cached_images: Images on the machine with their sizes in GB, least recently used first.
+        failed_attempts: Job attempts that failed here since the last success, as `job.attempt`.
+        stops_sent: Attempts for which a stop was sent to the worker's own address.
+        quarantined: Tasks fail on the machine, so it takes no more of them.
+        unresponsive: No report for longer than a machine that takes tasks may be silent.
+        token_confirmed: The worker has shown the current fencing token.
+        receives_responses: The timing of the last reports shows that responses arrive.
+        responses_lost: Responses have not arrived for so long that the machine is unusable.
+        no_response_since: Since when responses have not arrived; None if they do.
+        gang_reservation_until: Until when the machine is reserved for a gang of the leader.
+        idle_since: When the machine last had a task; when it first reported if it had none.
+        lease_expired: No report and no response for longer than the machine's lease.
+    """
+
+    def __init__(self, id: str, machine_type: str, zone: str, spot: bool) -> None:
+        self.id, self.machine_type, self.zone, self.spot = id, machine_type, zone, spot
+        self.address = ""
         self.session = 0
-        self.counter = -1
+        self.sequence = -1
         self.token = 0
-        self.heard = MonotonicTime(0.0)
-        self.answered = MonotonicTime(0.0)
+        self.last_report_at = MonotonicTime(0.0)
+        self.last_response_at = MonotonicTime(0.0)
         self.recall_at: float | None = None
         self.tasks: dict[tuple[str, int], TaskReport] = {}
-        self.running: dict[tuple[str, int, int], float] = {}
-        self.images: dict[str, float] = {}
-        self.failures: list[str] = []
+        self.running_since: dict[tuple[str, int, int], float] = {}
+        self.cached_images: dict[str, float] = {}
+        self.failed_attempts: list[str] = []
         self.stops_sent: set[tuple[str, int, int]] = set()
-        self.sick = False
-        self.quiet = False
-        self.proven = False  # has shown our token
-        self.hears = True  # its last reports came as from one that gets our answers
-        self.deaf = False
-        self.deaf_since: float | None = None
-        self.lent_until = 0.0
+        self.quarantined = False
+        self.unresponsive = False
+        self.token_confirmed = False
+        self.receives_responses = True
+        self.responses_lost = False
+        self.no_response_since: float | None = None
+        self.gang_reservation_until = 0.0
         self.idle_since = MonotonicTime(0.0)
-        self.lost = False
+        self.lease_expired = False
 
-    def remember_image(self, image: str, size: float, cache: float) -> None:
-        """Most recently used last; what exceeds the cache is taken as dropped."""
-        self.images.pop(image, None)
-        self.images[image] = size
-        while len(self.images) > 1 and sum(self.images.values()) > cache:
-            del self.images[next(iter(self.images))]
+    def record_image_use(self, image: str, size_gb: float, cache_gb: float) -> None:
+        """Note that a task uses an image; images beyond the cache size count as evicted."""
+        self.cached_images.pop(image, None)
+        self.cached_images[image] = size_gb
+        while len(self.cached_images) > 1 and sum(self.cached_images.values()) > cache_gb:
+            del self.cached_images[next(iter(self.cached_images))]
 
 
 class PeerMachine:
-    """A worker in a sibling's part, as its summaries show it."""
+    """A worker that a sibling owns, as the sibling's summaries show it.
+
+    The fields have the meaning of those of `Machine`. `draining` is set for a machine that takes
+    no new tasks, `is_idle` for one without tasks.
+    """
 
     __slots__ = (
-        "build", "deaf", "draining", "heard", "id", "idle", "idle_since", "images", "lent", "lost",
-        "quiet", "session", "sick", "spot", "zone",
+        "cached_images", "draining", "id", "idle_since", "is_idle", "last_report_at",
+        "lease_expired", "machine_type", "quarantined", "reserved_for_gang", "responses_lost",
+        "session", "spot", "unresponsive", "zone",
     )  # fmt: skip
 
     def __init__(
-        self, id: str, build: str, zone: str, spot: bool, session: int, heard: float
+        self, id: str, machine_type: str, zone: str, spot: bool, session: int, last_report_at: float
     ) -> None:
-        self.id, self.build, self.zone, self.spot = id, build, zone, spot
-        self.session, self.heard = session, heard
-        self.quiet = self.draining = self.sick = self.lent = self.idle = False
-        self.lost = self.deaf = False
+        self.id, self.machine_type, self.zone, self.spot = id, machine_type, zone, spot
+        self.session, self.last_report_at = session, last_report_at
+        self.unresponsive = self.draining = self.quarantined = self.reserved_for_gang = (
+            self.is_idle
+        ) = False
+        self.lease_expired = self.responses_lost = False
         self.idle_since = 0.0
-        self.images: frozenset[str] = frozenset()
+        self.cached_images: frozenset[str] = frozenset()
 
-    def silence(self, now: float) -> float:
-        """Seconds without a report; a row is sent again when a machine falls quiet."""
-        return now - self.heard if self.quiet else 0.0
+    def silence_s(self, now: float) -> float:
+        """Return the seconds since the last report; 0 unless the machine is unresponsive.
+
+        Its owner sends a machine's row again when the machine becomes unresponsive.
+        """
+        return now - self.last_report_at if self.unresponsive else 0.0
 
 
 class PeerView:
-    """What a sibling's summaries say, and when the last one came."""
-
-    def __init__(self, member: str, link: float) -> None:
-        self.member, self.link = member, link
-        self.seq = 0
-        self.token = self.permit = 0
-        self.permit_at = MonotonicTime(1e18)  # when its lease was first heard of
-        self.ledger = self.roster = 0
-        self.known_until = MonotonicTime(-1e9)  # we know what it confirmed until then
-        self.state_age = 0.0
-        self.at = MonotonicTime(-1e9)
+    """What a sibling's summaries say, and when the last one was received.
+
+    Attributes:
+        member: The sibling's name.
+        connection_started_at: When the sibling began the connection, which identifies it.
+        sequence: The number of the last frame of the connection.
+        token: The fencing token of the roster that the sibling knows.
+        lease_id: The sibling's lease, which identifies its process; 0 if it has none.
+        lease_id_seen_at: When this lease was first seen in a frame; 1e18 before the first.
+        revision: Up to which revision of the state service its records are complete.
+        roster_token: The roster under which it sent its cancellations.
+        cancellations_known_until: Every cancellation that it confirmed before is known here.
+        state_age_s: The age of its last response from the state service.
+        last_frame_at: When its last frame was received.
+        machines: Its machines by name.
+        is_complete: Whether the rows of all its machines have arrived.
+        requested_machines: Machines that it wants, as the leader, for a gang.
+        unreachable_for_workers: Controllers that workers cannot reach, by its observation.
+        waiting_reasons: Why jobs wait, by job.
+    """
+
+    def __init__(self, member: str, connection_started_at: float) -> None:
+        self.member, self.connection_started_at = member, connection_started_at
+        self.sequence = 0
+        self.token = self.lease_id = 0
+        self.lease_id_seen_at = MonotonicTime(1e18)
+        self.revision = self.roster_token = 0
+        self.cancellations_known_until = MonotonicTime(-1e9)
+        self.state_age_s = 0.0
+        self.last_frame_at = MonotonicTime(-1e9)
         self.machines: dict[str, PeerMachine] = {}
-        self.complete = False  # all its rows have come
-        self.wanted: frozenset[str] = frozenset()
+        self.is_complete = False
+        self.requested_machines: frozenset[str] = frozenset()
         self.unreachable_for_workers: frozenset[str] = frozenset()
-        self.reasons: dict[str, str] = {}
-
-    def inherit(self, before: "PeerView") -> None:
-        """Keep what is true of the member and not only of one connection."""
-        self.permit, self.permit_at = before.permit, before.permit_at
-        self.ledger, self.known_until = before.ledger, before.known_until
+        self.waiting_reasons: dict[str, str] = {}
+
+    def copy_member_state(self, previous: "PeerView") -> None:
+        """Take over what holds for the member itself rather than for one connection."""
+        self.lease_id, self.lease_id_seen_at = previous.lease_id, previous.lease_id_seen_at
+        self.revision, self.cancellations_known_until = (
+            previous.revision,
+            previous.cancellations_known_until,
+        )
 
 
 class Context:
-    """State shared by election, owners, the leader and the fleet."""
+    """State shared by the election, the owner, the leader and the fleet manager.
+
+    Attributes:
+        own_name: This controller's member name.
+        now: The time on the steady clock.
+        wall_time: The time of day in seconds since the epoch.
+        started_at: When the core was first given the time; None before.
+        effects: Actions for the surroundings to carry out, oldest first.
+        lease_id: This process's lease at the state service; 0 if it has none.
+        lease_until: When that lease ends at the earliest.
+        state_ok_at: When the last request that the state service answered was sent.
+        watch_ok_at: The view is at least as recent as this time.
+        token_seen_at: When the current roster's fencing token was first seen.
+        seen_token: That fencing token.
+        machines: Machines that report to this controller, by name.
+        peers: What the siblings' summaries say, by member.
+        placements_in_flight: Tasks whose placement is being committed, by job and index, with
+            their machine and job description.
+        finished_runs: Class and run time in seconds of each task that has finished.
+        peer_cancellations: Cancelled jobs that only siblings know of so far, with the revision
+            of their cancellation.
+        new_peer_cancellations: Those of them whose tasks have not been told to stop yet.
+        notify_peers: Whether all siblings are to get a frame at once.
+    """
 
     def __init__(
         self, settings: Settings, view: View, queue: CommitQueue, policy: Policy | None = None
     ) -> None:
         self.policy = policy or Policy()
         self.settings, self.view, self.queue = settings, view, queue
-        self.grants = GrantClock(view)
+        self.grants = GrantExpiry(view)
         self.ownership = OwnershipTable(view)
-        self.me = MemberName(settings.member)
-        self.now, self.wall = MonotonicTime(0.0), WallTime(0.0)
-        self.started: MonotonicTime | None = None
-        self.out: list[Effect] = []
-        self.permit = 0
+        self.own_name = MemberName(settings.member)
+        self.now, self.wall_time = MonotonicTime(0.0), WallTime(0.0)
+        self.started_at: MonotonicTime | None = None
+        self.effects: list[Effect] = []
+        self.lease_id = 0
         self.lease_until = MonotonicTime(0.0)
         self.state_ok_at = MonotonicTime(0.0)
-        self.follow_ok_at = MonotonicTime(0.0)
-        self.token_since = MonotonicTime(0.0)
-        self.token_seen = 0
+        self.watch_ok_at = MonotonicTime(0.0)
+        self.token_seen_at = MonotonicTime(0.0)
+        self.seen_token = 0
         self.machines: dict[str, Machine] = {}
         self.peers: dict[str, PeerView] = {}
-        self.pending: dict[tuple[str, int], tuple[str, Job]] = {}
-        self.finished: list[tuple[str, float]] = []
-        # Cancelled jobs that a sibling knows of, by revision, until our records show them.
-        self.handed: dict[JobId, int] = {}
-        self.handed_now: list[JobId] = []
-        self.tell = False
-        self._owners: dict[str, str | None] = {}
-        self._owners_at = -1
-        self._kinds: dict[str, MachineType] = {}
-        self._kinds_of: Catalog | None = None
-        self._market = Market()
-        self._market_at = -1e9
+        self.placements_in_flight: dict[tuple[str, int], tuple[str, Job]] = {}
+        self.finished_runs: list[tuple[str, float]] = []
+        self.peer_cancellations: dict[JobId, int] = {}
+        self.new_peer_cancellations: list[JobId] = []
+        self.notify_peers = False
+        self._cached_owners: dict[str, str | None] = {}
+        self._cached_owners_token = -1
+        self._types: dict[str, MachineType] = {}
+        self._types_catalog: Catalog | None = None
+        self._price_index = PriceIndex()
+        self._price_index_at = -1e9
 
     @property
     def roster(self) -> Roster | None:
-        """The roster that we know."""
+        """The latest known roster; None if there is none yet."""
         return self.view.roster
 
-    def my_record(self) -> MemberRecord | None:
-        """Our place in the roster, if it is this incarnation's."""
+    def own_record(self) -> MemberRecord | None:
+        """Return this controller's roster entry, if it belongs to this incarnation."""
         roster = self.view.roster
-        mine = roster.find_member(self.me) if roster else None
-        return mine if mine and self.permit and mine.lease_id == self.permit else None
+        member = roster.find_member(self.own_name) if roster else None
+        return member if member and self.lease_id and member.lease_id == self.lease_id else None
 
-    def active(self) -> bool:
-        """True while we may decide: in the roster, our lease safe, our view fresh."""
+    def is_active(self) -> bool:
+        """Return whether to decide: in the roster, lease valid, view recent enough."""
         return (
             self.view.loaded
-            # Our own commit's answer may overtake the news of what former owners
-            # wrote before it; until the news has come that far, we know too little.
+            # The response to this controller's own roster commit may arrive before the updates
+            # on what former owners wrote earlier; until then the view is incomplete.
             and self.view.ledger >= self.view.token
             and self.now < self.lease_until
-            and self.my_record() is not None
-            and self.now - self.follow_ok_at < self.news_age()
+            and self.own_record() is not None
+            and self.now - self.watch_ok_at < self.max_view_age_s()
         )
 
-    def longest_renewal(self) -> float:
-        """For how long after our last news leases may be renewed, whatever was cancelled since.
+    def max_renewal_s(self) -> float:
+        """Return for how many seconds after the last update leases may be renewed.
 
-        A lease that is renewed then ends before a cancellation that was promised just after
-        those news has to hold.
+        A lease that was renewed by then ends before the deadline of any cancellation that
+        another controller confirmed just after that update.
         """
         workers = self.settings.params.workers
-        return workers.cancel_s - workers.lease_s * DRIFT - KEPT_S
+        return workers.cancel_s - workers.lease_s * LEASE_DRIFT_FACTOR - RENEWAL_MARGIN_S
 
-    def news_age(self) -> float:
-        """The age from which our news are too old to decide on, and to renew leases."""
-        return min(NEWS_AGE_S, self.longest_renewal())
+    def max_view_age_s(self) -> float:
+        """Return the view's age in seconds from which it no longer allows decisions or renewals."""
+        return min(MAX_VIEW_AGE_S, self.max_renewal_s())
 
-    def leading(self) -> bool:
-        """May we decide for the whole cell?"""
+    def is_leading(self) -> bool:
+        """Return whether this controller decides for the whole cell."""
         roster = self.view.roster
-        return roster is not None and roster.leader == self.me and self.active()
+        return roster is not None and roster.leader == self.own_name and self.is_active()
 
-    def owner(self, machine: str, zone: str) -> str | None:
-        """The member that owns a machine; hashed once under each roster."""
+    def owner_of(self, machine: str, zone: str) -> str | None:
+        """Return the member that owns a machine; None if there is no roster or no member."""
         roster = self.view.roster
         if roster is None:
             return None
-        assigned = self.ownership.assigned(machine)
+        assigned = self.ownership.assigned_owner(machine)
         return assigned if assigned is not None else self.owner_by_hash(machine, zone, roster)
 
     def owner_by_hash(self, machine: str, zone: str, roster: Roster) -> str | None:
-        """The member that owns a machine unless a handover has set another one."""
-        if self._owners_at != self.view.token or len(self._owners) > OWNERS:
-            self._owners, self._owners_at = {}, self.view.token
-        found = self._owners.get(machine, "")
-        if found == "":
-            found = self._owners[machine] = owner(machine, zone, roster)
-        return found
+        """Return the owner unless a handover has assigned another; cached for each roster."""
+        if (
+            self._cached_owners_token != self.view.token
+            or len(self._cached_owners) > MAX_CACHED_OWNERS
+        ):
+            self._cached_owners, self._cached_owners_token = {}, self.view.token
+        owner = self._cached_owners.get(machine, "")
+        if owner == "":
+            owner = self._cached_owners[machine] = hash_owner(machine, zone, roster)
+        return owner
 
     def owns(self, machine: str, zone: str) -> bool:
-        """Is the machine in our part?"""
-        return self.owner(machine, zone) == self.me
+        """Return whether this controller owns the machine."""
+        return self.owner_of(machine, zone) == self.own_name
 
-    def token_of(self, machine: str) -> int:
-        """The fencing token under which a machine's owner commands it."""
+    def machine_token(self, machine: str) -> int:
+        """Return the fencing token under which a machine's owner commands it."""
         return self.ownership.token(machine)
 
-    def token_of_since(self, machine: str) -> float:
-        """Since when this process knows the machine's fencing token."""
-        return max(self.token_since, self.ownership.seen_at(machine))
+    def machine_token_seen_at(self, machine: str) -> float:
+        """Return when this process first saw the machine's current fencing token."""
+        return max(self.token_seen_at, self.ownership.seen_at(machine))
 
     def observe_handovers(self) -> None:
-        """Begin anew with machines that changed hands: they have not shown their new token."""
-        for machine in self.ownership.observe(self.now):
+        """Drop the state of machines with a new owner: they have not shown the new token yet."""
+        for machine in self.ownership.observe_changes(self.now):
             self.machines.pop(machine, None)
 
-    def alive_within(self) -> float:
-        """A machine not heard for longer takes no new tasks."""
+    def max_report_age_s(self) -> float:
+        """Return for how many seconds a machine may be silent and still take new tasks."""
         return self.settings.params.workers.report_s * 2.5 + 0.5
 
-    def kind(self, build: str) -> MachineType | None:
-        """A machine type by its name."""
+    def find_machine_type(self, name: str) -> MachineType | None:
+        """Return a machine type by its name; None if the catalog does not list it."""
         catalog = self.view.catalog
-        if catalog is not self._kinds_of:
-            self._kinds_of = catalog
-            self._kinds = {t.name: t for t in catalog.machine_types} if catalog else {}
-        return self._kinds.get(build)
+        if catalog is not self._types_catalog:
+            self._types_catalog = catalog
+            self._types = {t.name: t for t in catalog.machine_types} if catalog else {}
+        return self._types.get(name)
 
-    def market(self) -> Market:
-        """By one job of each class; looked at anew now and then."""
+    def price_index(self) -> PriceIndex:
+        """Return the price index, built from one job of each class every few seconds."""
         catalog = self.view.catalog
-        if catalog is not None and self.now - self._market_at > MARKET_S:
-            lanes = {job.spec.job_class: job.spec for job in self.view.jobs.values()}
-            self._market, self._market_at = Market(catalog.machine_types, lanes.values()), self.now
-        return self._market
-
-    def room(self, id: str) -> Room | None:
-        """One machine of our part, if it can take tasks."""
-        m = self.machines.get(id)
-        return self._room(m) if m is not None else None
-
-    def _room(self, m: Machine) -> Room | None:
-        kind = self.kind(m.build)
+        if catalog is not None and self.now - self._price_index_at > PRICE_INDEX_REFRESH_S:
+            specs_by_class = {job.spec.job_class: job.spec for job in self.view.jobs.values()}
+            self._price_index, self._price_index_at = (
+                PriceIndex(catalog.machine_types, specs_by_class.values()),
+                self.now,
+            )
+        return self._price_index
+
+    def machine_capacity(self, machine_id: str) -> MachineCapacity | None:
+        """Return the free capacity of an own machine; None if it can take no tasks."""
+        machine = self.machines.get(machine_id)
+        return self._usable_capacity(machine) if machine is not None else None
+
+    def _usable_capacity(self, machine: Machine) -> MachineCapacity | None:
+        type_info = self.find_machine_type(machine.machine_type)
         if (
-            kind is None
-            or m.sick
-            or m.lost
-            or m.deaf
-            or not m.proven
-            or not m.hears
-            or self.now - m.heard > self.alive_within()
-            or not self.owns(m.id, m.zone)
+            type_info is None
+            or machine.quarantined
+            or machine.lease_expired
+            or machine.responses_lost
+            or not machine.token_confirmed
+            or not machine.receives_responses
+            or self.now - machine.last_report_at > self.max_report_age_s()
+            or not self.owns(machine.id, machine.zone)
         ):
             return None
-        room = Room(m.id, kind, m.zone, m.spot, self.me, m.session, self.view.load(m.id), m.images)
-        room.draining = m.recall_at is not None or self.ownership.is_draining(m.id, self.wall)
-        room.lent = m.lent_until > self.now
-        room.idle_since = m.idle_since
-        return room
-
-    def rooms(self, mine_only: bool = False) -> list[Room]:
-        """Machines that can take tasks, with what is free after all entries and plans."""
-        rooms: dict[str, Room] = {}
-        for m in self.machines.values():
-            room = self._room(m)
-            if room is not None:
-                rooms[m.id] = room
-        if not mine_only:
-            self._peer_rooms(rooms)
-        for (name, index), (machine, spec) in self.pending.items():
-            # Under way: counts at its new place, not at the one it has in the record.
+        capacity = MachineCapacity(
+            machine.id,
+            type_info,
+            machine.zone,
+            machine.spot,
+            self.own_name,
+            machine.session,
+            self.view.load(machine.id),
+            machine.cached_images,
+        )
+        capacity.is_unschedulable = machine.recall_at is not None or self.ownership.is_draining(
+            machine.id, self.wall_time
+        )
+        capacity.reserved_for_gang = machine.gang_reservation_until > self.now
+        capacity.idle_since = machine.idle_since
+        return capacity
+
+    def available_machines(self, own_only: bool = False) -> list[MachineCapacity]:
+        """Return the machines that can take tasks, with their free capacity.
+
+        Recorded tasks and placements in flight count as used capacity.
+
+        Args:
+            own_only: Leave out the machines of siblings.
+        """
+        available: dict[str, MachineCapacity] = {}
+        for machine in self.machines.values():
+            capacity = self._usable_capacity(machine)
+            if capacity is not None:
+                available[machine.id] = capacity
+        if not own_only:
+            self._add_peer_machines(available)
+        for (name, index), (machine_id, spec) in self.placements_in_flight.items():
+            # Counts on its new machine, not on the one in the record.
             entry = self.view.entry(JobId(name), index)
             if entry is not None:
-                if entry.machine == machine:
+                if entry.machine == machine_id:
                     continue
-                if (was := rooms.get(entry.machine)) is not None:
-                    was.give(spec)
-            if (found := rooms.get(machine)) is not None:
-                found.take(spec)
-        return list(rooms.values())
+                if (previous := available.get(entry.machine)) is not None:
+                    previous.release(spec)
+            if (planned := available.get(machine_id)) is not None:
+                planned.reserve(spec)
+        return list(available.values())
 
-    def _peer_rooms(self, rooms: dict[str, Room]) -> None:
+    def _add_peer_machines(self, available: dict[str, MachineCapacity]) -> None:
         roster = self.view.roster
         if roster is None:
             return
-        load, alive = self.view.load, min(3.0, self.alive_within())
-        owner, kind_of = self.owner, self.kind
+        load, max_age_s = self.view.load, min(3.0, self.max_report_age_s())
+        owner_of, find_type = self.owner_of, self.find_machine_type
         for peer in self.peers.values():
-            if self.now - peer.at > alive:
+            if self.now - peer.last_frame_at > max_age_s:
                 continue
             member = peer.member
-            for pm in peer.machines.values():
-                if pm.sick or pm.lost or pm.deaf or pm.quiet:
+            for peer_machine in peer.machines.values():
+                if (
+                    peer_machine.quarantined
+                    or peer_machine.lease_expired
+                    or peer_machine.responses_lost
+                    or peer_machine.unresponsive
+                ):
                     continue
-                kind = kind_of(pm.build)
-                if kind is None or owner(pm.id, pm.zone) != member:
+                type_info = find_type(peer_machine.machine_type)
+                if type_info is None or owner_of(peer_machine.id, peer_machine.zone) != member:
                     continue
-                room = Room(
-                    pm.id, kind, pm.zone, pm.spot, member, pm.session, load(pm.id), pm.images
+                capacity = MachineCapacity(
+                    peer_machine.id,
+                    type_info,
+                    peer_machine.zone,
+                    peer_machine.spot,
+                    member,
+                    peer_machine.session,
+                    load(peer_machine.id),
+                    peer_machine.cached_images,
+                )
+                capacity.is_unschedulable = peer_machine.draining or self.ownership.is_draining(
+                    peer_machine.id, self.wall_time
                 )
-                room.draining = pm.draining or self.ownership.is_draining(pm.id, self.wall)
-                room.lent = pm.lent
-                room.idle_since = pm.idle_since
-                rooms[pm.id] = room
+                capacity.reserved_for_gang = peer_machine.reserved_for_gang
+                capacity.idle_since = peer_machine.idle_since
+                available[peer_machine.id] = capacity
--- a/coursefold/coordination/fleet.py
+++ b/coursefold/coordination/fleet.py
@@ -1,8 +1,8 @@
-"""The fleet: what the leader asks the cloud for, and when.
+"""The leader's fleet management: machine list, catalog, rentals, returns and pool sizes.
 
-The parts: `inventory` knows the machines, `hires` the rental requests, `pools` decides how
-many machines each pool should have, `cloud` sends within the cloud's rate. Here they are
-brought together: lists and the catalog are read, answers handed on, machines given back.
+`inventory` tracks the machines, `rentals` the rental requests, `pools` decides how many
+machines each pool should have, and `cloud` sends requests within the cloud's rate. This
+module schedules their work and passes responses of the cloud to them.
 """
 
 import logging
@@ -12,105 +12,118 @@
 from msgspec import Struct
 
 from coursefold.coordination.cloud import (
-    CatalogSubject,
+    CatalogRequest,
     CloudClient,
-    HireSubject,
-    ListSubject,
-    ReturnSubject,
-    Subject,
-    Verb,
+    CloudOperation,
+    CloudRequest,
+    ListRequest,
+    RentalRequest,
+    ReturnRequest,
 )
 from coursefold.coordination.context import Context
-from coursefold.coordination.hires import HireBook
-from coursefold.coordination.inventory import SPARE, Inventory
+from coursefold.coordination.inventory import SPARE_REASON, Inventory
 from coursefold.coordination.leader import Leader
-from coursefold.coordination.placement import Place
-from coursefold.coordination.pools import LONGEST_PERIOD_S, PoolControl
+from coursefold.coordination.placement import MachineOffering
+from coursefold.coordination.pools import MAX_PERIOD_S, PoolControl
+from coursefold.coordination.rentals import RentalManager
 from coursefold.protocol.wire import Catalog, ListedMachine, MachineList, MalformedError, decode
 from coursefold.storage import records
 from coursefold.storage.edits import LOW_PRIORITY, Edit, EditResult, NotApplicableError
 
 log = logging.getLogger(__name__)
 
-LIST_EVERY_S = 3.0
-LIST_SHARE = 0.2  # of the cloud's rate; a list may take several pages
-MACHINES_PER_PAGE = 500  # by the protocol
-PAGE_FILL = 400  # machines that are counted as a page of the next list
-RETURNS_PER_REQUEST = 100  # by the protocol
-CATALOG_EVERY_S = 45.0
-WATCH_EVERY_S = 0.5
-LENT_FOR_RETURN_S = 3.0
-FRESH_SUMMARY_S = 1.5
-OK = 200
+LIST_INTERVAL_S = 3.0
+LIST_RATE_SHARE = 0.2  # of the cloud's rate; a list may take several pages
+MACHINES_PER_PAGE = 500  # limit of the cloud's API
+PLANNED_MACHINES_PER_PAGE = 400  # to estimate the pages of the next list; the fleet may grow
+MAX_RETURNS_PER_REQUEST = 100  # limit of the cloud's API
+CATALOG_INTERVAL_S = 45.0
+INVENTORY_INTERVAL_S = 0.5
+RETURN_RESERVATION_S = 3.0
+MAX_SUMMARY_AGE_S = 1.5
+HTTP_OK = 200
 
 
-class Fleet:
-    """Rents, watches and returns machines while this node leads."""
+class FleetManager:
+    """Rents, observes and returns machines while this controller leads.
+
+    Attributes:
+        leading_token: Fencing token under which this controller leads; 0 if it does not.
+        listed_machines: Rows of the list that is being read, page by page.
+        page_start: Name after which the next page of that list begins; empty between lists.
+        lists_read: Complete lists read since this controller began to lead.
+    """
 
     def __init__(self, ctx: Context, leader: Leader) -> None:
         self.ctx = ctx
         self.leader = leader
         self.parameters = ctx.policy.parameters
         self.cloud = CloudClient(ctx)
-        self.inventory = Inventory(ctx, self.parameters.loss_window, leader.owner.depart)
-        self.hires = HireBook(ctx, self.cloud, self.inventory)
-        self.pools = PoolControl(ctx, leader, self.inventory, self.hires)
+        self.inventory = Inventory(ctx, self.parameters.loss_window, leader.owner.remove_machine)
+        self.rentals = RentalManager(ctx, self.cloud, self.inventory)
+        self.pool_control = PoolControl(ctx, leader, self.inventory, self.rentals)
         self.leading_token = 0
-        self.catalog_at = -math.inf
-        self._clear()
-
-    def _clear(self) -> None:
-        """A new leader starts from reports and lists."""
-        self.inventory.clear()
-        self.hires.clear()
-        self.pools.clear()
-        self.cloud.forget()
-        self.listed: list[ListedMachine] = []
-        self.page_from = ""
+        self.catalog_read_at = -math.inf
+        self._reset()
+
+    def _reset(self) -> None:
+        """Forget the fleet; a new leader learns it from reports and lists."""
+        self.inventory.reset()
+        self.rentals.reset()
+        self.pool_control.reset()
+        self.cloud.discard_pending()
+        self.listed_machines: list[ListedMachine] = []
+        self.page_start = ""
         self.lists_read = 0
-        self.list_at = -math.inf
-        self.plan_at = -math.inf
-        self.watch_at = -math.inf
+        self.list_requested_at = -math.inf
+        self.planned_at = -math.inf
+        self.inventory_updated_at = -math.inf
+
+    # Responses of the cloud
 
-    # Answers of the cloud
+    def handle_response(self, call_id: int, status: int, body: bytes) -> None:
+        """Process a response of the cloud.
 
-    def outcome(self, call: int, status: int, body: bytes) -> None:
-        """An answer of the cloud; status 0 is no answer."""
-        pending = self.cloud.answered(call, status, body)
-        if pending is None or not self.ctx.leading():
+        Args:
+            call_id: Number of the call.
+            status: HTTP status; 0 if there was no response.
+            body: Body of the response.
+        """
+        pending = self.cloud.match_response(call_id, status, body)
+        if pending is None or not self.ctx.is_leading():
             return
         try:
-            self._take_answer(pending.subject, status, body)
-        except MalformedError as wrong:
-            log.error("cloud answer to %s is not readable: %s", pending.verb, wrong)
-
-    def _take_answer(self, subject: Subject, status: int, body: bytes) -> None:
-        if isinstance(subject, HireSubject):
-            self.hires.take_answer(subject, status, body)
-        elif status != OK:
-            return  # asked again in its time
-        elif isinstance(subject, CatalogSubject):
-            self._take_catalog(decode(body, Catalog))
-        elif isinstance(subject, ListSubject):
-            self._take_page(subject, decode(body, MachineList))
-        elif isinstance(subject, ReturnSubject):
-            self.inventory.take_returned(subject.machines)
+            self._dispatch_response(pending.request, status, body)
+        except MalformedError as error:
+            log.error("malformed response of the cloud to %s: %s", pending.operation, error)
+
+    def _dispatch_response(self, request: CloudRequest, status: int, body: bytes) -> None:
+        if isinstance(request, RentalRequest):
+            self.rentals.handle_response(request, status, body)
+        elif status != HTTP_OK:
+            return  # requested again at the next interval
+        elif isinstance(request, CatalogRequest):
+            self._record_catalog(decode(body, Catalog))
+        elif isinstance(request, ListRequest):
+            self._add_page(request, decode(body, MachineList))
+        elif isinstance(request, ReturnRequest):
+            self.inventory.record_returned(request.machines)
         else:
-            assert_never(subject)
+            assert_never(request)
 
-    def _take_catalog(self, catalog: Catalog) -> None:
-        self.catalog_at = self.ctx.now
+    def _record_catalog(self, catalog: Catalog) -> None:
+        self.catalog_read_at = self.ctx.now
 
         def change(current: Struct | None) -> EditResult:
             if current == catalog:
                 raise NotApplicableError("same")
             return catalog
 
-        for kind in catalog.machine_types:
+        for type_info in catalog.machine_types:
             log.debug(
                 "type %s: %g cpus, %g accelerators, %g GB, %g an hour, %g when spot",
-                kind.name, kind.cpus, kind.gpus, kind.memory_gb, kind.price_per_hour,
-                kind.spot_price_per_hour,
+                type_info.name, type_info.cpus, type_info.gpus, type_info.memory_gb,
+                type_info.price_per_hour, type_info.spot_price_per_hour,
             )  # fmt: skip
         key = records.MACHINE_TYPES_KEY if self.ctx.view.level else records.CATALOG_KEY
         fence = self.ctx.view.token
@@ -118,110 +131,118 @@
             Edit(key, change, fencing_token=fence, priority=LOW_PRIORITY, tag="catalog")
         )
 
-    def _take_page(self, subject: ListSubject, page: MachineList) -> None:
-        if subject.page_from != self.page_from:
+    def _add_page(self, request: ListRequest, page: MachineList) -> None:
+        """Add a page to the list that is being read; pass the list on once it is complete."""
+        if request.start_after != self.page_start:
             return
-        self.listed.extend(page.machines)
+        self.listed_machines.extend(page.machines)
         if page.has_more and page.machines:
-            self.page_from = page.machines[-1].name
-            self._ask_list()
+            self.page_start = page.machines[-1].name
+            self._request_list()
             return
-        self.page_from = ""
-        rows, self.listed = self.listed, []
+        self.page_start = ""
+        rows, self.listed_machines = self.listed_machines, []
         self.lists_read += 1
-        self.inventory.take_list(rows, self._list_every())
+        self.inventory.update_from_list(rows, self._list_interval_s())
 
-    # Each tick
+    # Periodic work
 
     def tick(self) -> None:
-        """One round: ask, watch, send what is recorded, and plan when it is time."""
+        """Do what is due: requests, inventory updates, rentals, returns and pool sizes."""
         ctx = self.ctx
-        if not ctx.leading():
+        if not ctx.is_leading():
             self.leading_token = 0
             return
         if self.leading_token != ctx.view.token:
-            self._begin()
-        if ctx.view.catalog is None or ctx.now - self.catalog_at > CATALOG_EVERY_S:
-            self.cloud.send(Verb.CATALOG, {}, CatalogSubject())
-        self._ask_list()
+            self._begin_term()
+        if ctx.view.catalog is None or ctx.now - self.catalog_read_at > CATALOG_INTERVAL_S:
+            self.cloud.send(CloudOperation.CATALOG, {}, CatalogRequest())
+        self._request_list()
         if ctx.view.catalog is None:
             return
-        if ctx.now - self.watch_at >= WATCH_EVERY_S:
-            self._watch()
-        self.leader.blocked = {p for p, until in self.hires.blocked.items() if until > ctx.now}
-        self.hires.send(self.lists_read)
+        if ctx.now - self.inventory_updated_at >= INVENTORY_INTERVAL_S:
+            self._update_inventory()
+        self.leader.blocked_offerings = {
+            offering for offering, until in self.rentals.blocked_until.items() if until > ctx.now
+        }
+        self.rentals.send_pending(self.lists_read)
         self._send_returns()
-        if ctx.now - self.plan_at >= self.parameters.period and self.lists_read > 0:
-            elapsed = min(LONGEST_PERIOD_S, ctx.now - self.plan_at)
-            self.plan_at = ctx.now
-            self.pools.plan(ctx.view.catalog, elapsed)
+        if ctx.now - self.planned_at >= self.parameters.period and self.lists_read > 0:
+            elapsed_s = min(MAX_PERIOD_S, ctx.now - self.planned_at)
+            self.planned_at = ctx.now
+            self.pool_control.plan(ctx.view.catalog, elapsed_s)
 
-    def _begin(self) -> None:
-        """Lead under a new fencing token."""
+    def _begin_term(self) -> None:
+        """Begin under a new fencing token; keep the fleet if this controller led until now."""
         if self.leading_token == 0 or not self.inventory.machines:
-            self._clear()
+            self._reset()
         self.leading_token = self.ctx.view.token
-        self.inventory.leads_since = self.ctx.now
-        self.cloud.forget()
-        self.hires.begin()
-
-    def _watch(self) -> None:
-        self.watch_at = self.ctx.now
-        self.inventory.watch()
-        self.leader.booting = [
-            Place(machine.build, machine.zone, machine.spot)
+        self.inventory.leading_since = self.ctx.now
+        self.cloud.discard_pending()
+        self.rentals.begin_term()
+
+    def _update_inventory(self) -> None:
+        self.inventory_updated_at = self.ctx.now
+        self.inventory.update_from_owners()
+        self.leader.booting_offerings = [
+            MachineOffering(machine.machine_type, machine.zone, machine.spot)
             for machine in self.inventory.machines.values()
-            if not machine.up and machine.id not in self.inventory.returning
+            if not machine.is_up and machine.id not in self.inventory.returning
         ]
 
-    def _ask_list(self) -> None:
-        """Ask for the next page, or begin anew when the time has come.
+    def _request_list(self) -> None:
+        """Request the next page of the machine list, or a new list when it is due.
 
-        A page that was refused, or that found no room in the cloud's rate, is asked for
-        again: over 500 machines every list has several, and a list that is given up for one
-        of them, just when hundreds are rented, would leave the fleet unseen.
+        A page that was refused, or that the rate limit held back, is requested again. Above
+        500 machines every list has several pages; giving up a whole list for one of them
+        would leave the fleet unobserved just when hundreds of machines are rented.
         """
-        if self.page_from:
-            body = {"From": self.page_from, "Page": MACHINES_PER_PAGE}
-            self.cloud.send(Verb.LIST, body, ListSubject(self.page_from))
+        if self.page_start:
+            body = {"From": self.page_start, "Page": MACHINES_PER_PAGE}
+            self.cloud.send(CloudOperation.LIST, body, ListRequest(self.page_start))
             return
-        if self.ctx.now - self.list_at <= self._list_every():
+        if self.ctx.now - self.list_requested_at <= self._list_interval_s():
             return
-        if self.cloud.send(Verb.LIST, {"Page": MACHINES_PER_PAGE}, ListSubject("")):
-            self.list_at = self.ctx.now
-            self.listed = []
+        if self.cloud.send(CloudOperation.LIST, {"Page": MACHINES_PER_PAGE}, ListRequest("")):
+            self.list_requested_at = self.ctx.now
+            self.listed_machines = []
 
-    def _list_every(self) -> float:
-        """Seconds from one list to the next: a large fleet's takes more calls."""
-        pages = 1 + len(self.inventory.machines) // PAGE_FILL
-        return max(LIST_EVERY_S, pages / (LIST_SHARE * self.ctx.settings.params.cloud.rps))
+    def _list_interval_s(self) -> float:
+        """Return the time from one list to the next; longer if the list takes several calls."""
+        pages = 1 + len(self.inventory.machines) // PLANNED_MACHINES_PER_PAGE
+        return max(LIST_INTERVAL_S, pages / (LIST_RATE_SHARE * self.ctx.settings.params.cloud.rps))
 
-    # Giving back
+    # Returns
 
     def _send_returns(self) -> None:
         ready = [
             name
-            for name, why in list(self.inventory.returning.items())
-            if why != SPARE or self._is_lent(name)
-        ][:RETURNS_PER_REQUEST]
+            for name, reason in list(self.inventory.returning.items())
+            if reason != SPARE_REASON or self._reserve_for_return(name)
+        ][:MAX_RETURNS_PER_REQUEST]
         if ready:
-            self.cloud.send(Verb.RETURN, {"Boxes": ready}, ReturnSubject(ready))
+            self.cloud.send(CloudOperation.RETURN, {"Boxes": ready}, ReturnRequest(ready))
 
-    def _is_lent(self, machine: str) -> bool:
-        """A spare machine goes back only while its owner keeps it free."""
+    def _reserve_for_return(self, machine: str) -> bool:
+        """Have the owner keep a spare machine free; return whether it does so already.
+
+        The return is cancelled if the machine has got tasks meanwhile.
+        """
         ctx = self.ctx
-        if ctx.view.on_machine(machine) or any(m == machine for m, _ in ctx.pending.values()):
+        if ctx.view.on_machine(machine) or any(
+            target == machine for target, _ in ctx.placements_in_flight.values()
+        ):
             self.inventory.returning.pop(machine, None)
-            self.leader.wanted.pop(machine, None)
+            self.leader.requested_machines.pop(machine, None)
             return False
         own = ctx.machines.get(machine)
         if own is not None:
-            own.lent_until = ctx.now + LENT_FOR_RETURN_S
+            own.gang_reservation_until = ctx.now + RETURN_RESERVATION_S
             return True
-        self.leader.wanted[machine] = ctx.now + LENT_FOR_RETURN_S
+        self.leader.requested_machines[machine] = ctx.now + RETURN_RESERVATION_S
         return any(
-            ctx.now - peer.at < FRESH_SUMMARY_S
+            ctx.now - peer.last_frame_at < MAX_SUMMARY_AGE_S
             and machine in peer.machines
-            and peer.machines[machine].lent
+            and peer.machines[machine].reserved_for_gang
             for peer in ctx.peers.values()
         )
--- a/coursefold/coordination/jobs.py
+++ b/coursefold/coordination/jobs.py
@@ -1,8 +1,9 @@
-"""Edits of job records: every step of a task's life, each checked against the record.
+"""Edits of job records: each transition of a job or task, checked against the current record.
 
-An edit raises NotApplicableError when the record has moved on, so a late or repeated decision
-changes nothing. A task has at most one entry, and its entry leaves only when
-the task is done or its place is proven gone.
+Each function returns a `Change`, which computes the next record from the current one. It
+raises NotApplicableError if the transition does not apply to the current record, so a late or
+repeated decision changes nothing. A task has at most one entry in its job's record. The entry
+is removed only when the task is done or is known not to run on its machine any more.
 """
 
 from collections.abc import Sequence
@@ -18,22 +19,26 @@
 from coursefold.storage.records import ASSIGNED, PLACED, STOPPING, Ending, JobRecord, TaskEntry
 
 
-def _job(record: Struct | None) -> JobRecord:
+def _require_job(record: Struct | None) -> JobRecord:
     if not isinstance(record, JobRecord):
         raise NotApplicableError("over")
     return record
 
 
-def _live(record: Struct | None) -> JobRecord:
-    job = _job(record)
+def _require_live_job(record: Struct | None) -> JobRecord:
+    job = _require_job(record)
     if job.status != records.LIVE:
         raise NotApplicableError("cancelled")
     return job
 
 
-def _startable(record: Struct | None) -> JobRecord:
-    """A live job that waits for no other: without this, news out of order could start it."""
-    job = _live(record)
+def _require_startable_job(record: Struct | None) -> JobRecord:
+    """Return the record of a live job whose tasks may start here.
+
+    The check of prerequisites keeps updates that arrive out of order from starting a job
+    too early.
+    """
+    job = _require_live_job(record)
     if job.open_prerequisites:
         raise NotApplicableError("waits for other jobs")
     if not job.may_start:
@@ -41,16 +46,17 @@
     return job
 
 
-def settle(job: JobRecord) -> EditResult:
-    """The record itself, or its ending when nothing of it is left to do.
+def end_if_complete(job: JobRecord) -> EditResult:
+    """Return the job's ending if nothing is left to do, else the record itself.
 
-    The ending takes the record's place, which is one change; it moves to where it
-    stays (`sweep`) when there is nothing more urgent to write. A job that is away ends on the
-    guest cell's word or on proof; another cell's job is not ours to end, so its record says
-    what became of it until its home has confirmed that.
+    The ending replaces the record under the same key, which is a single change; `move_ending`
+    moves it to its final key when there is nothing more urgent to write. A job that runs in
+    another cell ends when that cell reports its end or its end is proven otherwise. The record
+    of a job that runs here for another cell is not ended here: it keeps the outcome until the
+    home cell has confirmed it.
     """
     if job.guest is not None:
-        return _settle_guest(job, job.guest)
+        return _end_guest_if_complete(job, job.guest)
     if job.is_delegated:
         return job
     if job.status == records.CANCELLED and not job.entries:
@@ -60,7 +66,7 @@
     return job
 
 
-def _settle_guest(job: JobRecord, guest: Guest) -> JobRecord:
+def _end_guest_if_complete(job: JobRecord, guest: Guest) -> JobRecord:
     if job.entries or guest.stage in (GuestStage.RELEASED, GuestStage.FINISHED):
         return job
     if job.done_count >= job.spec.task_count:
@@ -72,22 +78,30 @@
     return msgspec.structs.replace(job, guest=msgspec.structs.replace(guest, stage=stage))
 
 
-def sweep() -> Change:
-    """Move an ending out of the live jobs' keys, so that a starting node need not read it."""
+def move_ending() -> Change:
+    """Return an edit that moves an ending out of the live jobs' keys.
+
+    A starting controller reads all live jobs' keys, and need not read ended jobs.
+    """
 
     def change(record: Struct | None) -> EditResult:
         if not isinstance(record, Ending):
             raise NotApplicableError("not ended")
-        # When it ended is asked by those that need it, and none does any more.
+        # Only dependent jobs use the time of the end, and none is left.
         return ArchiveEnding(Ending(record.status, record.task_count))
 
     return change
 
 
 def accept(spec: Job, at: float, needs: Sequence[str] = (), cancelled: bool = False) -> Change:
-    """A new job; NotApplicableError where it is known already.
-
-    `needs` are the jobs before it that are not done; `cancelled` if one of them never will be.
+    """Return an edit that stores a new job; it does not apply if the job is known already.
+
+    Args:
+        spec: The job's description.
+        at: Wall-clock time of the submission in seconds.
+        needs: The prerequisites that are not done yet.
+        cancelled: Whether a prerequisite was cancelled, so that the job can never start; it
+            is stored as cancelled then.
     """
 
     def change(record: Struct | None) -> EditResult:
@@ -102,27 +116,33 @@
     return change
 
 
-def release(ready: float) -> Change:
-    """All that the job needs is done: from here on its tasks may be dealt.
+def clear_prerequisites(ready_at: float) -> Change:
+    """Return an edit that clears a job's prerequisites, so that its tasks may be assigned.
+
+    The edit is part of the transaction of the first assignment, so it costs no change of its
+    own. The caller has seen that all prerequisites are done, which never changes again.
 
-    Made in the transaction of the first deal, so it costs no change of its own. That
-    what it needed is done was seen before, and never changes again.
+    Args:
+        ready_at: Wall-clock time in seconds from which the job could start.
     """
 
     def change(record: Struct | None) -> EditResult:
-        job = _live(record)
+        job = _require_live_job(record)
         if not job.open_prerequisites:
             raise NotApplicableError("waits for nothing")
-        return msgspec.structs.replace(job, open_prerequisites=[], ready_at=ready)
+        return msgspec.structs.replace(job, open_prerequisites=[], ready_at=ready_at)
 
     return change
 
 
-def orphan() -> Change:
-    """The ending of a job that needs a cancelled one; it has no task, and never had."""
+def cancel_dependent() -> Change:
+    """Return an edit that ends a job because a prerequisite was cancelled.
+
+    Such a job has never had an entry, so there are no tasks to stop.
+    """
 
     def change(record: Struct | None) -> EditResult:
-        job = _live(record)
+        job = _require_live_job(record)
         if not job.open_prerequisites or job.entries:
             raise NotApplicableError("waits for nothing")
         return Ending(records.CANCELLED, job.spec.task_count)
@@ -131,91 +151,99 @@
 
 
 def cancel() -> Change:
-    """From here on nothing of the job starts; what has a place is stopped by its owner."""
+    """Return an edit that cancels a job.
+
+    No task of the job starts after it; the owners of the machines stop the tasks that have
+    been placed. Tasks that were assigned but not placed are dropped.
+    """
 
     def change(record: Struct | None) -> EditResult:
-        job = _live(record)
-        kept = [e for e in job.entries if e.stage != ASSIGNED]
+        job = _require_live_job(record)
+        placed = [e for e in job.entries if e.stage != ASSIGNED]
         away = job.delegation
         if away is not None and away.stage == DelegationStage.OFFERED:
-            # Nobody may start it without a grant, and there will be none.
+            # The other cell may not start the job without a grant, and none will be given.
             away = msgspec.structs.replace(away, stage=DelegationStage.HOME)
-        return settle(
-            msgspec.structs.replace(job, status=records.CANCELLED, entries=kept, delegation=away)
+        return end_if_complete(
+            msgspec.structs.replace(job, status=records.CANCELLED, entries=placed, delegation=away)
         )
 
     return change
 
 
-class Dealt(NamedTuple):
-    """A waiting task handed to an owner; `machine` is only a hint."""
+class Assignment(NamedTuple):
+    """A waiting task that the leader assigns to the owner of a machine."""
 
-    number: int
+    number: int  # index of the task in its job
     owner: str
     zone: str
-    machine: str
+    machine: str  # a hint; the owner may place the task on another machine
 
 
-def deal(tasks: list[Dealt]) -> Change:
-    """Hand waiting tasks to owners; those that no longer wait are left out."""
+def assign(tasks: list[Assignment]) -> Change:
+    """Return an edit that assigns waiting tasks to owners, without those that no longer wait."""
 
     def change(record: Struct | None) -> EditResult:
-        job = _startable(record)
-        taken = {e.index for e in job.entries}
-        new = [
+        job = _require_startable_job(record)
+        with_entry = {e.index for e in job.entries}
+        new_entries = [
             TaskEntry(t.number, ASSIGNED, job.attempt, t.owner, t.zone, t.machine)
             for t in tasks
-            if t.number not in taken and not job.is_done(t.number)
+            if t.number not in with_entry and not job.is_done(t.number)
         ]
-        if not new:
+        if not new_entries:
             raise NotApplicableError("not waiting")
-        return msgspec.structs.replace(job, entries=[*job.entries, *new])
+        return msgspec.structs.replace(job, entries=[*job.entries, *new_entries])
 
     return change
 
 
-def undeal(index: int, owner: str) -> Change:
-    """Hand a task back for which the owner finds no place."""
+def unassign(index: int, owner: str) -> Change:
+    """Return an edit that takes an assigned task back because its owner has no place for it."""
 
     def change(record: Struct | None) -> EditResult:
-        job = _live(record)
-        kept = [
+        job = _require_live_job(record)
+        remaining = [
             e
             for e in job.entries
             if not (e.index == index and e.stage == ASSIGNED and e.owner == owner)
         ]
-        if len(kept) == len(job.entries):
+        if len(remaining) == len(job.entries):
             raise NotApplicableError("not dealt")
-        return msgspec.structs.replace(job, entries=kept)
+        return msgspec.structs.replace(job, entries=remaining)
 
     return change
 
 
-class Task(NamedTuple):
-    """A task at a place, as a step names it; what a step does not need is left empty."""
+class TaskRef(NamedTuple):
+    """The task that a transition is about; fields that its kind does not need stay empty.
+
+    The field names are those of the protobuf message of the same content.
+    """
 
-    number: int
+    number: int  # index of the task in its job
     attempt: int = 0
     zone: str = ""
     machine: str = ""
-    session: int = 0
+    session: int = 0  # the worker's session on the machine
 
 
-def place(owner: str, tasks: Sequence[Task]) -> Change:
-    """Give dealt (or waiting) tasks their machines; each attempt's number is new.
+def place(owner: str, tasks: Sequence[TaskRef]) -> Change:
+    """Return an edit that places assigned or waiting tasks on machines.
 
-    Those that are done, or no longer the owner's to place, are left out.
+    Each placed task gets a new attempt number. Tasks that are done, placed already or
+    assigned to another owner are left out.
     """
 
     def change(record: Struct | None) -> EditResult:
-        job = _startable(record)
+        job = _require_startable_job(record)
         entries = {e.index: e for e in job.entries}
         attempt = job.attempt
         for task in tasks:
-            now = entries.get(task.number)
+            current = entries.get(task.number)
             if job.is_done(task.number):
                 continue
-            if now is not None and (now.stage != ASSIGNED or now.owner != owner):
+            if current is not None and (current.stage != ASSIGNED or current.owner != owner):
                 continue
             attempt += 1
             entries[task.number] = TaskEntry(
@@ -229,14 +257,17 @@
 
 
 def place_gang(places: list[tuple[str, str, str, int]]) -> Change:
-    """Start a gang's next attempt: one (owner, zone, machine, session) for each task.
+    """Return an edit that starts a gang's next attempt.
 
-    NotApplicableError unless every task of the former attempt is proven gone: until then its
-    old places forbid starting the same task elsewhere.
+    It applies only if no entry of the previous attempt is left: as long as a task may still
+    run on its old machine, it must not start elsewhere.
+
+    Args:
+        places: One (owner, zone, machine, session) for each task, in the tasks' order.
     """
 
     def change(record: Struct | None) -> EditResult:
-        job = _startable(record)
+        job = _require_startable_job(record)
         if job.entries or len(places) != job.spec.task_count:
             raise NotApplicableError("not waiting")
         attempt = job.attempt + 1
@@ -249,11 +280,16 @@
     return change
 
 
-def stopping(index: int | None, attempt: int) -> Change:
-    """Write down that a task (all of a gang: None) is to be stopped, before it is told."""
+def mark_stopping(index: int | None, attempt: int) -> Change:
+    """Return an edit that records that a task is to be stopped, before the worker is told.
+
+    Args:
+        index: The task's index, or None for all tasks of the attempt (a gang).
+        attempt: The attempt to stop.
+    """
 
     def change(record: Struct | None) -> EditResult:
-        job = _job(record)
+        job = _require_job(record)
         entries = [
             msgspec.structs.replace(e, stage=STOPPING)
             if e.stage == PLACED and e.attempt == attempt and index in (None, e.index)
@@ -267,64 +303,81 @@
     return change
 
 
-def _without(job: JobRecord, index: int, machine: str, attempt: int) -> list[TaskEntry]:
-    kept = [
+def _entries_without(job: JobRecord, index: int, machine: str, attempt: int) -> list[TaskEntry]:
+    remaining = [
         e
         for e in job.entries
         if not (e.index == index and e.machine == machine and e.attempt == attempt)
     ]
-    if len(kept) == len(job.entries):
+    if len(remaining) == len(job.entries):
         raise NotApplicableError("not there")
-    return kept
+    return remaining
 
 
-def gone(index: int, machine: str, attempt: int) -> Change:
-    """The task's place is proven gone; it waits again, or its cancelled job ends."""
+def mark_gone(index: int, machine: str, attempt: int) -> Change:
+    """Return an edit for a task that is known not to run on its machine any more.
+
+    The task waits again; if its job is cancelled and this was the last entry, the job ends.
+    """
 
     def change(record: Struct | None) -> EditResult:
-        job = _job(record)
-        return settle(msgspec.structs.replace(job, entries=_without(job, index, machine, attempt)))
+        job = _require_job(record)
+        return end_if_complete(
+            msgspec.structs.replace(job, entries=_entries_without(job, index, machine, attempt))
+        )
 
     return change
 
 
-def finish(index: int, machine: str, attempt: int) -> Change:
-    """The task is done. A gang completes together: one done task means all are."""
+def mark_done(index: int, machine: str, attempt: int) -> Change:
+    """Return an edit for a task that is done.
+
+    The tasks of a gang complete together: if one is done, all are.
+    """
 
     def change(record: Struct | None) -> EditResult:
-        job = _job(record)
-        kept = _without(job, index, machine, attempt)
+        job = _require_job(record)
+        remaining = _entries_without(job, index, machine, attempt)
         if job.status == records.CANCELLED:
-            return settle(msgspec.structs.replace(job, entries=kept))
+            return end_if_complete(msgspec.structs.replace(job, entries=remaining))
         if job.spec.kind == "ensemble":
             if job.guest is None:
                 return Ending(records.DONE, job.spec.task_count)
-            whole = [(0, job.spec.task_count - 1)]
-            return settle(msgspec.structs.replace(job, entries=[], done_ranges=whole))
+            all_tasks = [(0, job.spec.task_count - 1)]
+            return end_if_complete(msgspec.structs.replace(job, entries=[], done_ranges=all_tasks))
         done = records.add_to_ranges(job.done_ranges, index)
-        return settle(msgspec.structs.replace(job, entries=kept, done_ranges=done, failure_count=0))
+        return end_if_complete(
+            msgspec.structs.replace(job, entries=remaining, done_ranges=done, failure_count=0)
+        )
 
     return change
 
 
-def failed(index: int, machine: str, attempt: int, wall: float) -> Change:
-    """The task ended with an error: it waits again, longer after each error.
+def mark_failed(index: int, machine: str, attempt: int, failed_at: float) -> Change:
+    """Return an edit for a task that ended with an error; the job's tasks are retried later.
 
-    A job submitted with a mistake fails everywhere until its user cancels it;
-    without the pause it would take machine after machine from the others.
+    The delay doubles with each error in a row, from 0.5 s up to 60 s. A job with a faulty
+    description fails everywhere until its user cancels it, and without a delay it would
+    occupy one machine after another.
+
+    Args:
+        index: The task's index.
+        machine: The machine on which it failed.
+        attempt: The attempt that failed.
+        failed_at: Wall-clock time of the failure in seconds.
     """
 
     def change(record: Struct | None) -> EditResult:
-        job = _job(record)
+        job = _require_job(record)
         errors = job.failure_count + 1
-        pause = min(60.0, 0.5 * 2 ** min(errors - 1, 7))
-        return settle(
+        retry_delay_s = min(60.0, 0.5 * 2 ** min(errors - 1, 7))
+        return end_if_complete(
             msgspec.structs.replace(
                 job,
-                entries=_without(job, index, machine, attempt),
+                entries=_entries_without(job, index, machine, attempt),
                 failure_count=errors,
-                retry_at=wall + pause,
-                # Tried elsewhere next: that tells a faulty machine from a faulty job.
+                retry_at=failed_at + retry_delay_s,
+                # The next attempt runs elsewhere, to tell a faulty machine from a faulty job.
                 failed_on=[*(m for m in job.failed_on if m != machine), machine][-4:],
             )
         )
@@ -332,35 +385,37 @@
     return change
 
 
-class Step(NamedTuple):
-    """An owner's edit in a form that can be sent to the leader."""
+class TaskTransition(NamedTuple):
+    """An owner's edit of a job record, in a form that can be sent to the leader."""
 
-    kind: str
-    tasks: tuple[Task, ...]
+    kind: str  # one of TRANSITION_KINDS
+    tasks: tuple[TaskRef, ...]  # one task, or several for "place"
     owner: str
-    at: float = 0.0
+    created_at: float = 0.0  # wall-clock time in seconds; used for "failed"
 
-    def valid(self) -> bool:
-        """False for what no owner would send."""
-        several = self.kind == "place"
-        return self.kind in KINDS and (len(self.tasks) == 1 or (several and bool(self.tasks)))
+    def is_valid(self) -> bool:
+        """Return whether the kind is known and the number of tasks fits it."""
+        allows_several = self.kind == "place"
+        return self.kind in TRANSITION_KINDS and (
+            len(self.tasks) == 1 or (allows_several and bool(self.tasks))
+        )
 
-    def change(self) -> Change:
-        """The edit that the step stands for."""
+    def to_change(self) -> Change:
+        """Return the edit that the transition stands for."""
         if self.kind == "place":
             return place(self.owner, self.tasks)
         task = self.tasks[0]
         if self.kind == "stop":
-            return stopping(task.number, task.attempt)
+            return mark_stopping(task.number, task.attempt)
         if self.kind == "stop_all":
-            return stopping(None, task.attempt)
+            return mark_stopping(None, task.attempt)
         if self.kind == "gone":
-            return gone(task.number, task.machine, task.attempt)
+            return mark_gone(task.number, task.machine, task.attempt)
         if self.kind == "finish":
-            return finish(task.number, task.machine, task.attempt)
+            return mark_done(task.number, task.machine, task.attempt)
         if self.kind == "failed":
-            return failed(task.number, task.machine, task.attempt, self.at)
-        return undeal(task.number, self.owner)
+            return mark_failed(task.number, task.machine, task.attempt, self.created_at)
+        return unassign(task.number, self.owner)
 
 
-KINDS = frozenset({"place", "stop", "stop_all", "gone", "finish", "failed", "undeal"})
+TRANSITION_KINDS = frozenset({"place", "stop", "stop_all", "gone", "finish", "failed", "undeal"})
--- a/coursefold/storage/share_records.py
+++ b/coursefold/storage/share_records.py
@@ -1,7 +1,7 @@
 """Records of machines that were moved between controllers, and of operators' move requests.
 
-The owner of a machine without a record follows from a hash (`coordination.parts`). The record of
-a machine that was moved names its owner, for as long as that owner's process is in the roster,
+The owner of a machine without a record follows from a hash (`coordination.rendezvous`). The record
+of a machine that was moved names its owner, for as long as that owner's process is in the roster,
 and the fencing token that the handover raised for this machine alone.
 """
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,8 +4,14 @@
 
 from coursefold.coordination import cancellations
 from coursefold.coordination.context import Context, Machine
-from coursefold.coordination.queueing import optimum
-from coursefold.coordination.summary import REASONS, Rows, Teller, read, take
+from coursefold.coordination.queueing import find_optimal_servers
+from coursefold.coordination.summary import (
+    MAX_REASONS_PER_FRAME,
+    MachineRows,
+    PeerFrameBuilder,
+    apply_frame,
+    decode_frame,
+)
 from coursefold.policy.language import parse
 from coursefold.protocol.ids import JobId, MonotonicTime
 from coursefold.storage import records
@@ -26,22 +32,22 @@
         self.ctx = ctx
         self.frames: list[bytes] = []
 
-    def hears(self, teller: Teller, reasons: dict[JobId, str]) -> int:
+    def hears(self, teller: PeerFrameBuilder, reasons: dict[JobId, str]) -> int:
         """Take frames until nothing waits; how many came."""
         count = 0
-        while frame := teller.frame(set(), set(), reasons):
+        while frame := teller.build_frame(set(), set(), reasons):
             count += 1
             self.frames.append(frame)
-            envelope = read(self.ctx, frame)
+            envelope = decode_frame(self.ctx, frame)
             assert envelope is not None
-            take(self.ctx, envelope)
+            apply_frame(self.ctx, envelope)
         return count
 
 
 def leading_world() -> World:
     world = World()
     world.run(3.0)
-    assert world.core.ctx.leading()
+    assert world.core.ctx.is_leading()
     return world
 
 
@@ -63,8 +69,8 @@
     names = [name for name in names if ctx.owns(name, "a")][:count]
     for name in names:
         machine = Machine(name, "g2", "a", False)
-        machine.session, machine.proven, machine.heard = 1, True, ctx.now
-        machine.images = dict(IMAGES)
+        machine.session, machine.token_confirmed, machine.last_report_at = 1, True, ctx.now
+        machine.cached_images = dict(IMAGES)
         ctx.machines[name] = machine
     return names
 
@@ -74,14 +80,14 @@
     world = leading_world()
     ctx = world.core.ctx
     names = add_machines(ctx, MACHINES)
-    teller = Teller(ctx, Rows(ctx), "n1")
+    teller = PeerFrameBuilder(ctx, MachineRows(ctx), "n1")
     sibling = listener(world)
     assert sibling.hears(teller, {}) > 2
     assert max(map(len, sibling.frames)) < FRAME_LIMIT
     assert sum(map(len, sibling.frames)) > FRAME_LIMIT
     known = sibling.ctx.peers["n0"]
     assert set(names) <= set(known.machines)
-    assert known.complete
+    assert known.is_complete
 
 
 def test_machines_whose_rows_are_still_to_come_are_not_missing() -> None:
@@ -89,31 +95,33 @@
     world = leading_world()
     ctx = world.core.ctx
     names = add_machines(ctx, MACHINES)
-    teller = Teller(ctx, Rows(ctx), "n1")
+    teller = PeerFrameBuilder(ctx, MachineRows(ctx), "n1")
     sibling = listener(world)
-    envelope = read(sibling.ctx, teller.frame(set(), set(), {}))
+    envelope = decode_frame(sibling.ctx, teller.build_frame(set(), set(), {}))
     assert envelope is not None
-    take(sibling.ctx, envelope)
+    apply_frame(sibling.ctx, envelope)
     known = sibling.ctx.peers["n0"]
     assert len(known.machines) < len(names)
-    assert not known.complete
+    assert not known.is_complete
 
 
 def test_all_reasons_are_told() -> None:
     world = leading_world()
-    teller = Teller(world.core.ctx, Rows(world.core.ctx), "n1")
+    teller = PeerFrameBuilder(world.core.ctx, MachineRows(world.core.ctx), "n1")
     sibling = listener(world)
-    reasons = {JobId(f"job-{number}"): f"waits {number}" for number in range(4 * REASONS + 7)}
+    reasons = {
+        JobId(f"job-{number}"): f"waits {number}" for number in range(4 * MAX_REASONS_PER_FRAME + 7)
+    }
     for _ in range(6):
-        teller.urgent = True
+        teller.summary_requested = True
         sibling.hears(teller, reasons)
-    assert sibling.ctx.peers["n0"].reasons == reasons
-    teller.urgent = True
+    assert sibling.ctx.peers["n0"].waiting_reasons == reasons
+    teller.summary_requested = True
     few = dict.fromkeys(list(reasons)[:3], "other")
     for _ in range(6):
-        teller.urgent = True
+        teller.summary_requested = True
         sibling.hears(teller, few)
-    assert sibling.ctx.peers["n0"].reasons == few
+    assert sibling.ctx.peers["n0"].waiting_reasons == few
 
 
 def test_run_times_beyond_one_frame_are_kept_for_the_next() -> None:
@@ -121,16 +129,16 @@
     ctx = world.core.ctx
     assert ctx.roster is not None
     ctx.view.roster = structs.replace(ctx.roster, leader="n1")
-    ctx.finished.extend(("batch", float(number)) for number in range(900))
-    teller = Teller(ctx, Rows(ctx), "n1")
+    ctx.finished_runs.extend(("batch", float(number)) for number in range(900))
+    teller = PeerFrameBuilder(ctx, MachineRows(ctx), "n1")
     sibling = listener(world)
     for _ in range(3):
-        teller.urgent = True
+        teller.summary_requested = True
         sibling.hears(teller, {})
-    assert len(sibling.ctx.finished) == 900
-    ctx.finished.extend(("batch", 1.0) for _ in range(100_000))
-    Teller(ctx, Rows(ctx), "n2").frame(set(), set(), {})
-    assert len(ctx.finished) < 5000
+    assert len(sibling.ctx.finished_runs) == 900
+    ctx.finished_runs.extend(("batch", 1.0) for _ in range(100_000))
+    PeerFrameBuilder(ctx, MachineRows(ctx), "n2").build_frame(set(), set(), {})
+    assert len(ctx.finished_runs) < 5000
 
 
 def test_a_policy_may_name_thousands_of_machines() -> None:
@@ -142,8 +150,10 @@
 def test_the_optimum_of_a_pool_of_32000_slots_lies_above_its_load() -> None:
     """Once, the search ended at 20,000 slots, fewer than 4,000 machines of eight have."""
     load = 30_000.0
-    assert load < optimum(load / 60.0, 1 / 60.0, 0.0007, 0.0005) < 1.1 * load
-    assert optimum(load / 60.0, 1 / 60.0, 0.0, 0.0005) < 2 * load + 2000  # free slots: it ends
+    assert load < find_optimal_servers(load / 60.0, 1 / 60.0, 0.0007, 0.0005) < 1.1 * load
+    assert (
+        find_optimal_servers(load / 60.0, 1 / 60.0, 0.0, 0.0005) < 2 * load + 2000
+    )  # free slots: it ends
 
 
 def test_copies_of_machines_that_left_are_known_for_thousands() -> None:
@@ -151,8 +161,8 @@
     owner = world.core.owner
     names = add_machines(world.core.ctx, MACHINES)
     for name in names:
-        owner.depart(name)
-    assert set(names) <= set(owner.departed)
+        owner.remove_machine(name)
+    assert set(names) <= set(owner.departed_sequences)
 
 
 def test_removals_are_remembered_for_thousands_of_jobs() -> None:
@@ -166,11 +176,11 @@
 
 def test_as_many_cancellations_are_told_as_are_confirmed_in_some_seconds() -> None:
     ctx = World().core.ctx
-    assert cancellations.most_told(ctx) == 1000
+    assert cancellations.max_cancellations_per_frame(ctx) == 1000
     params = ctx.settings.params
     state = structs.replace(params.state, write_rps=400.0)
     ctx.settings = structs.replace(ctx.settings, params=structs.replace(params, state=state))
-    assert cancellations.most_told(ctx) == 4000
+    assert cancellations.max_cancellations_per_frame(ctx) == 4000
 
 
 def test_4000_machines_are_rented_and_filled_on_cheap_ticks() -> None:
@@ -180,6 +190,6 @@
     up = [worker for worker in fleet.workers.values() if worker.counter]
     assert len(up) >= 0.95 * MACHINES
     assert len(fleet.on) >= 0.9 * MACHINES
-    leader = next(node for node in fleet.nodes if node.enter().ctx.leading())
+    leader = next(node for node in fleet.nodes if node.enter().ctx.is_leading())
     assert leader.core.ctx.now > MonotonicTime(0.0)
     assert len(leader.core.fleet.inventory.machines) >= 0.95 * MACHINES
