--- a/coursefold/coordination/core.py
+++ b/coursefold/coordination/core.py
@@ -262,7 +262,7 @@
 
     def receive_job_result(self, ticket: int, record: JobRecord | Ending | None) -> None:
         """Handle the outcome of a `ReadJobResult`; `record` is None if there is no such job."""
-        self.requests.record_read(ticket, record)
+        self.requests.receive_job_result(ticket, record)
 
     def read_failed(self, ticket: int) -> None:
         """Handle a read or a view refresh that failed."""
--- a/coursefold/coordination/jobs.py
+++ b/coursefold/coordination/jobs.py
@@ -93,23 +93,32 @@
     return change
 
 
-def accept(spec: Job, at: float, needs: Sequence[str] = (), cancelled: bool = False) -> Change:
+def accept(
+    spec: Job,
+    submitted_at: float,
+    open_prerequisites: Sequence[str] = (),
+    has_cancelled_prerequisite: bool = False,
+) -> Change:
     """Return an edit that stores a new job; it does not apply if the job is known already.
 
     Args:
         spec: The job's description.
-        at: Wall-clock time of the submission in seconds.
-        needs: The prerequisites that are not done yet.
-        cancelled: Whether a prerequisite was cancelled, so that the job can never start; it
-            is stored as cancelled then.
+        submitted_at: Wall-clock time of the submission in seconds.
+        open_prerequisites: The prerequisites that are not done yet.
+        has_cancelled_prerequisite: Whether a prerequisite was cancelled, so that the job can
+            never start; it is stored as cancelled then.
     """
 
     def change(record: Struct | None) -> Result:
         if record is not None:
             raise NotApplicableError("known")
-        if cancelled:
+        if has_cancelled_prerequisite:
             return Ending(records.CANCELLED, spec.tasks)
-        return JobRecord(msgspec.structs.replace(spec, prereqs=None), at, needs=list(needs))
+        return JobRecord(
+            msgspec.structs.replace(spec, prereqs=None),
+            submitted_at,
+            needs=list(open_prerequisites),
+        )
 
     return change
 
--- a/coursefold/coordination/requests.py
+++ b/coursefold/coordination/requests.py
@@ -229,7 +229,7 @@
         ending = self.view.endings.get(JobId(job))
         self.pending[ticket] = PendingRequest(purpose, JobId(job), spec)
         if ending is not None:
-            self.record_read(ticket, ending)
+            self.receive_job_result(ticket, ending)
             return
         self.refresh_tickets.append(ticket)
         self.ctx.effects.append(RefreshView())
@@ -249,7 +249,7 @@
             if found is None and stored is not None and isinstance(stored.record, Ending):
                 found = stored.record  # ended, but not moved to its final key yet
             if found is not None:
-                self.record_read(ticket, found)
+                self.receive_job_result(ticket, found)
             elif self._has_unreadable_record(job):
                 self.pending.pop(ticket, None)
                 self._answer_unavailable(ticket, "the job's record can not be read")
@@ -299,7 +299,7 @@
         if self.pending.pop(ticket, None) is not None and ticket >= 0:
             self._answer_unavailable(ticket, "no state service", 1)
 
-    def record_read(self, ticket: int, found: JobRecord | Ending | None) -> None:
+    def receive_job_result(self, ticket: int, found: JobRecord | Ending | None) -> None:
         """Answer a request from the record of its job, or from None if the job is unknown."""
         request = self.pending.pop(ticket, None)
         if request is None:
