--- a/coursefold/coordination/summary.py
+++ b/coursefold/coordination/summary.py
@@ -8,14 +8,17 @@
 """
 
 import logging
+from coursefold.coordination import cancellations
+from coursefold.coordination.context import Context
+from coursefold.coordination.context import PeerMachine
+from coursefold.coordination.context import PeerView
+from coursefold.protocol import peer_pb2
+from coursefold.protocol.ids import JobId
+from coursefold.protocol.ids import Moment
+from google.protobuf.message import DecodeError
 from typing import NamedTuple
 
-from google.protobuf.message import DecodeError
 
-from coursefold.coordination import cancellations
-from coursefold.coordination.context import Context, PeerMachine, PeerView
-from coursefold.protocol import peer_pb2
-from coursefold.protocol.ids import JobId, Moment
 
 log = logging.getLogger(__name__)
 
@@ -249,7 +252,9 @@
     skew = ctx.settings.params.skew_ms / 1000.0
     if abs(ctx.wall_time - envelope.sent_at) > LATE_S + 2 * skew:
         log.debug(
-            "peer frame of %s is %.1f s old", envelope.sender, ctx.wall_time - envelope.sent_at
+            "peer frame of %s is %.1f s old",
+            envelope.sender,
+            ctx.wall_time - envelope.sent_at,
         )
         return None
     known = ctx.peers.get(envelope.sender)
