--- a/coursefold/coordination/owner_placement.py
+++ b/coursefold/coordination/owner_placement.py
@@ -2,22 +2,20 @@
 
 import logging
 from collections.abc import Iterable
+
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
-from coursefold.coordination.placement import FailedSearches
-from coursefold.coordination.placement import MachineCapacity
-from coursefold.coordination.placement import PlacementSearch
-from coursefold.coordination.placement import RESOURCE_TOLERANCE
+from coursefold.coordination.placement import (
+    RESOURCE_TOLERANCE,
+    FailedSearches,
+    MachineCapacity,
+    PlacementSearch,
+)
 from coursefold.coordination.transitions import TransitionProposer
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
-from coursefold.storage.edits import LATER
-from coursefold.storage.edits import SOON
-from coursefold.storage.records import Entry
-from coursefold.storage.records import JobRecord
-from coursefold.storage.records import LIVE
-
-
+from coursefold.storage.edits import LATER, SOON
+from coursefold.storage.records import LIVE, Entry, JobRecord
 
 log = logging.getLogger(__name__)
 
--- a/coursefold/coordination/summary.py
+++ b/coursefold/coordination/summary.py
@@ -1,122 +1,144 @@
-"""What controllers tell each other, as protobuf.
-
-A summary is sent as what changed since the last one on the same connection, so
-it costs by what happens and not by the size of a part. Summaries are hints:
-nothing that a rule depends on is decided by them alone, so a lost, late or
-forged one costs time and never safety. Proposals are checked against the
-record they change (`forward`).
+"""Frames that the controllers of a cell exchange, encoded as protobuf messages.
+
+A frame may hold a summary of the sender's state, proposals, and outcomes of proposals. A
+summary holds what has changed since the previous one on the same connection, so its size
+depends on the number of changes and not on the number of the sender's machines. Summaries
+are hints: no decision on which correctness depends rests on them alone, so a lost, late or
+forged one causes delays only. Proposals are checked against the record that they change, see
+`forward`.
 """
 
 import logging
-from coursefold.coordination import cancellations
-from coursefold.coordination.context import Context
-from coursefold.coordination.context import PeerMachine
-from coursefold.coordination.context import PeerView
-from coursefold.protocol import peer_pb2
-from coursefold.protocol.ids import JobId
-from coursefold.protocol.ids import Moment
-from google.protobuf.message import DecodeError
 from typing import NamedTuple
 
+from google.protobuf.message import DecodeError
 
+from coursefold.coordination import cancellations
+from coursefold.coordination.context import Context, PeerMachine, PeerView
+from coursefold.protocol import peer_pb2
+from coursefold.protocol.ids import JobId, Moment
 
 log = logging.getLogger(__name__)
 
 PROTOCOL_VERSION = 2
-MAX_REASONS_PER_FRAME = 500  # told in one frame; the others follow in the next ones
-ROWS_BYTES = 512 * 1024  # of rows in one frame, half of what a frame may have
-SUMMARY_S = 0.6
-ROWS_S = 0.05
-LATE_S = 3.0
-GONE_KEPT = 20_000  # machines that left, for siblings that have not been told yet
-FINISHED = 400  # run times told in one frame
-FINISHED_KEPT = 4000  # while there is no leader to tell
+MAX_REASONS_PER_FRAME = 500  # the others follow in the next frames
+MAX_ROWS_BYTES = 512 * 1024  # in one frame; half of the size limit of a frame
+SUMMARY_INTERVAL_S = 0.6
+ROWS_MAX_AGE_S = 0.05
+MAX_FRAME_DELAY_S = 3.0
+MAX_REMOVED_ROWS = 20_000  # machines that left, kept for siblings that do not know it yet
+MAX_RUN_TIMES_PER_FRAME = 400
+MAX_RUN_TIMES_KEPT = 4000  # while there is no leader to send them to
 
 
 class MachineRow(NamedTuple):
-    """One machine of our part as siblings see it; equal as long as nothing of note changes."""
+    """What siblings are told of one machine that this controller owns.
+
+    Rows are compared to find changes, so they hold nothing that changes with each report.
+    Times are local times in seconds.
+    """
 
-    build: str
+    machine_type: str
     zone: str
     spot: bool
     session: int
-    unresponsive_since: float | None
-    draining: bool
-    sick: bool
-    lent: bool
-    idle_since: float | None
-    lost: bool
-    deaf: bool
-    images: tuple[str, ...]
+    unresponsive_since: float | None  # last report of a machine that has stopped reporting
+    draining: bool  # it will be taken away, or does not receive responses
+    quarantined: bool  # tasks fail on it
+    reserved_for_gang: bool  # kept free for a gang that the leader wants to place
+    idle_since: float | None  # None while it has tasks or entries
+    lease_expired: bool  # it has been silent for longer than its lease
+    responses_lost: bool  # it has not received responses for several lease durations
+    images: tuple[str, ...]  # container images in its cache
 
 
 class MachineRows:
-    """The rows of our part, made once for all siblings, and in which order they changed."""
+    """The rows of the own machines, built once for all siblings, and the order of changes."""
 
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
-        self.at = -1e9
+        self.built_at = -1e9
         self.rows: dict[str, MachineRow] = {}
-        self.changes = 0
-        # By machine, the number of its last change, in order; gone ones too, for a while.
-        self.changed: dict[str, int] = {}
-        self.gone: dict[str, None] = {}
+        self.change_count = 0
+        # By machine, the number of its last change, in ascending order; for a while, also of
+        # machines that are not owned any more.
+        self.last_changes: dict[str, int] = {}
+        self.removed: dict[str, None] = {}
 
     def current(self) -> dict[str, MachineRow]:
-        """The rows as they are now, by machine."""
+        """Return the rows by machine, built again if they are older than ROWS_MAX_AGE_S."""
         ctx = self.ctx
-        if ctx.now - self.at < ROWS_S:
+        if ctx.now - self.built_at < ROWS_MAX_AGE_S:
             return self.rows
-        self.at = ctx.now
-        before, self.rows = self.rows, self._make()
+        self.built_at = ctx.now
+        previous, self.rows = self.rows, self._build_rows()
         for id, row in self.rows.items():
-            if before.get(id) != row:
-                self.gone.pop(id, None)
-                self._note(id)
-        for id in before:
+            if previous.get(id) != row:
+                self.removed.pop(id, None)
+                self._record_change(id)
+        for id in previous:
             if id not in self.rows:
-                self.gone[id] = None
-                self._note(id)
-        while len(self.gone) > GONE_KEPT:
-            oldest = next(iter(self.gone))
-            del self.gone[oldest], self.changed[oldest]
+                self.removed[id] = None
+                self._record_change(id)
+        while len(self.removed) > MAX_REMOVED_ROWS:
+            oldest = next(iter(self.removed))
+            del self.removed[oldest], self.last_changes[oldest]
         return self.rows
 
-    def _note(self, id: str) -> None:
-        self.changes += 1
-        self.changed.pop(id, None)
-        self.changed[id] = self.changes
+    def _record_change(self, id: str) -> None:
+        self.change_count += 1
+        self.last_changes.pop(id, None)
+        self.last_changes[id] = self.change_count
 
     def changed_after(self, change: int) -> list[tuple[str, int]]:
-        """Machines that changed after a change, and the numbers of theirs, in order."""
-        found: list[tuple[str, int]] = []
-        for id, number in reversed(self.changed.items()):
+        """Return the machines that changed after the given change, with their changes' numbers.
+
+        They are in the order of their changes.
+        """
+        newest_first: list[tuple[str, int]] = []
+        for id, number in reversed(self.last_changes.items()):
             if number <= change:
                 break
-            found.append((id, number))
-        return found[::-1]
+            newest_first.append((id, number))
+        return newest_first[::-1]
 
-    def _make(self) -> dict[str, MachineRow]:
+    def _build_rows(self) -> dict[str, MachineRow]:
         ctx = self.ctx
         rows: dict[str, MachineRow] = {}
         if not ctx.is_active():
             return rows
-        for m in ctx.machines.values():
-            # One that has not shown our token may be a late copy of an old report.
-            if m.token_confirmed and ctx.owns(m.id, m.zone):
-                idle = not m.tasks and not ctx.view.occupies(m.id)
-                rows[m.id] = MachineRow(
-                    m.machine_type, m.zone, m.spot, m.session,
-                    m.last_report_at if m.unresponsive else None,
-                    m.recall_at is not None or not m.receives_responses, m.quarantined,
-                    m.gang_reservation_until > ctx.now, m.idle_since if idle else None,
-                    m.lease_expired, m.responses_lost, tuple(m.cached_images),
-                )  # fmt: skip
+        for machine in ctx.machines.values():
+            # A report that does not show the own fencing token may be a delayed old one.
+            if machine.token_confirmed and ctx.owns(machine.id, machine.zone):
+                is_idle = not machine.tasks and not ctx.view.occupies(machine.id)
+                rows[machine.id] = MachineRow(
+                    machine.machine_type,
+                    machine.zone,
+                    machine.spot,
+                    machine.session,
+                    machine.last_report_at if machine.unresponsive else None,
+                    machine.recall_at is not None or not machine.receives_responses,
+                    machine.quarantined,
+                    machine.gang_reservation_until > ctx.now,
+                    machine.idle_since if is_idle else None,
+                    machine.lease_expired,
+                    machine.responses_lost,
+                    tuple(machine.cached_images),
+                )
         return rows
 
 
 class PeerFrameBuilder:
-    """Makes the frames for one sibling."""
+    """Builds the frames for one sibling.
+
+    Attributes:
+        summary_requested: Whether the next frame has a summary, also before it is due.
+        proposals: Proposals to the sibling for the next frame.
+        outcomes: Outcomes of the sibling's proposals for the next frame.
+        needs_full_summary: Whether no summary has been sent on this connection yet.
+        sent_change: The row changes up to this number have been sent on this connection.
+        sent_reasons: By job, the reason that was sent last on this connection.
+    """
 
     def __init__(self, ctx: Context, rows: MachineRows, member: str) -> None:
         self.ctx, self.rows, self.member = ctx, rows, member
@@ -126,170 +148,196 @@
         self.start_connection()
 
     def start_connection(self) -> None:
-        """A new connection: the sibling may have nothing yet."""
-        self.link = float(self.ctx.wall_time)
-        self.seq = 0
-        self.full = True
-        self.told_at = -1e9
-        self.told_change = 0  # of the rows; all up to it have been told on this connection
-        self.said: dict[str, str] = {}
+        """Start a new connection, on which everything is sent again."""
+        self.connection_started_at = float(self.ctx.wall_time)
+        self.sequence = 0
+        self.needs_full_summary = True
+        self.summary_sent_at = -1e9
+        self.sent_change = 0
+        self.sent_reasons: dict[str, str] = {}
 
     def has_pending(self) -> bool:
-        """Is there something to say before the next summary is due?"""
+        """Return whether there is something to send before the next summary is due."""
         return bool(self.summary_requested or self.proposals or self.outcomes)
 
     def build_frame(
-        self, wanted: set[str], unreachable: set[str], reasons: dict[JobId, str]
+        self,
+        requested_machines: set[str],
+        unreachable_for_workers: set[str],
+        reasons: dict[JobId, str],
     ) -> bytes:
-        """The next frame; empty if there is nothing to say."""
+        """Return the next frame, or an empty one if there is nothing to send.
+
+        Args:
+            requested_machines: Machines that the leader wants for a gang.
+            unreachable_for_workers: Members that workers cannot reach.
+            reasons: By job, why it waits; sent by the leader.
+        """
         ctx = self.ctx
-        due = self.full or self.summary_requested or ctx.now - self.told_at >= SUMMARY_S
-        if not (due or self.proposals or self.outcomes):
+        is_summary_due = (
+            self.needs_full_summary
+            or self.summary_requested
+            or ctx.now - self.summary_sent_at >= SUMMARY_INTERVAL_S
+        )
+        if not (is_summary_due or self.proposals or self.outcomes):
             return b""
-        self.seq += 1
-        out = peer_pb2.Envelope(
+        self.sequence += 1
+        envelope = peer_pb2.Envelope(
             version=PROTOCOL_VERSION,
             sender=ctx.own_name,
             sent_at=ctx.wall_time,
-            link=self.link,
-            seq=self.seq,
+            link=self.connection_started_at,
+            seq=self.sequence,
         )
-        out.proposals.extend(self.proposals)
-        out.outcomes.extend(self.outcomes)
+        envelope.proposals.extend(self.proposals)
+        envelope.outcomes.extend(self.outcomes)
         self.proposals, self.outcomes = [], []
-        if due:
+        if is_summary_due:
             self.summary_requested = False
-            self.told_at = ctx.now
-            self._summary(out.summary, wanted, unreachable, reasons)
-        return out.SerializeToString()
+            self.summary_sent_at = ctx.now
+            self._fill_summary(
+                envelope.summary, requested_machines, unreachable_for_workers, reasons
+            )
+        return envelope.SerializeToString()
 
-    def _summary(
+    def _fill_summary(
         self,
         body: peer_pb2.Summary,
-        wanted: set[str],
-        unreachable: set[str],
+        requested_machines: set[str],
+        unreachable_for_workers: set[str],
         reasons: dict[JobId, str],
     ) -> None:
         ctx = self.ctx
         body.token = ctx.view.token if ctx.is_active() else 0
         body.permit = ctx.lease_id
         body.state_age_s = max(0.0, ctx.now - ctx.state_ok_at)
-        body.wanted.extend(sorted(wanted))
-        body.complaints.extend(sorted(unreachable))
-        body.full, self.full = self.full, False
+        body.wanted.extend(sorted(requested_machines))
+        body.complaints.extend(sorted(unreachable_for_workers))
+        body.full, self.needs_full_summary = self.needs_full_summary, False
         if ctx.view.loaded:
             cancellations.fill_message(ctx, self.member, body.cancellations)
-        self._tell_rows(body)
+        self._add_rows(body)
         if ctx.is_leading():
-            self._tell_reasons(body, reasons)
+            self._add_reasons(body, reasons)
         elif ctx.roster is not None and ctx.roster.leader == self.member:
-            for lane, seconds in ctx.finished_runs[:FINISHED]:
-                body.finished.add(lane=lane, seconds=seconds, tasks=1)
-            del ctx.finished_runs[:FINISHED]
-        del ctx.finished_runs[:-FINISHED_KEPT]
+            for job_class, seconds in ctx.finished_runs[:MAX_RUN_TIMES_PER_FRAME]:
+                body.finished.add(lane=job_class, seconds=seconds, tasks=1)
+            del ctx.finished_runs[:MAX_RUN_TIMES_PER_FRAME]
+        del ctx.finished_runs[:-MAX_RUN_TIMES_KEPT]
 
-    def _tell_rows(self, body: peer_pb2.Summary) -> None:
-        """Rows that changed, as many as a frame has room for; the rest in the next one.
+    def _add_rows(self, body: peer_pb2.Summary) -> None:
+        """Add the rows that changed, up to the size limit; the others go into the next frame.
 
-        A frame over the limit would end the connection, and the next one begin with the same
-        rows: one controller with thousands of machines would never be heard of.
+        A frame over the limit ends the connection, and the first frame of the next connection
+        would have the same rows again. So without this limit, siblings would never get a
+        frame of a controller with thousands of machines.
         """
         rows = self.rows.current()
-        room = ROWS_BYTES
-        for id, change in self.rows.changed_after(self.told_change):
-            if room <= 0:
+        bytes_left = MAX_ROWS_BYTES
+        for id, change in self.rows.changed_after(self.sent_change):
+            if bytes_left <= 0:
                 body.more = self.summary_requested = True
                 break
             row = rows.get(id)
             if row is None:
                 body.dropped.append(id)
             else:
-                room -= self._add_row(body, id, row)
-            self.told_change = change
+                bytes_left -= self._add_row(body, id, row)
+            self.sent_change = change
 
     def _add_row(self, body: peer_pb2.Summary, id: str, row: MachineRow) -> int:
-        """Add one machine's row; its size in bytes."""
+        """Add one machine's row and return its size in bytes."""
         now = self.ctx.now
         return body.machines.add(
-            id=id, build=row.build, zone=row.zone, spot=row.spot, session=row.session,
+            id=id, build=row.machine_type, zone=row.zone, spot=row.spot, session=row.session,
             quiet=row.unresponsive_since is not None,
             silent_s=max(0.0, now - (row.unresponsive_since or now)),
-            draining=row.draining, sick=row.sick, lost=row.lost, deaf=row.deaf,
-            lent=row.lent, images=row.images, idle=row.idle_since is not None,
-            idle_s=max(0.0, now - (row.idle_since or now)),
+            draining=row.draining, sick=row.quarantined, lost=row.lease_expired,
+            deaf=row.responses_lost, lent=row.reserved_for_gang, images=row.images,
+            idle=row.idle_since is not None, idle_s=max(0.0, now - (row.idle_since or now)),
         ).ByteSize()  # fmt: skip
 
-    def _tell_reasons(self, body: peer_pb2.Summary, reasons: dict[JobId, str]) -> None:
-        """Reasons that are new or hold no more, as many as a frame has room for."""
-        changed = [(name, why) for name, why in reasons.items() if self.said.get(name) != why]
-        over = [(name, "") for name in self.said if name not in reasons]
-        for name, why in [*over, *changed][:MAX_REASONS_PER_FRAME]:
+    def _add_reasons(self, body: peer_pb2.Summary, reasons: dict[JobId, str]) -> None:
+        """Add reasons that are new or do not hold any more, up to the limit of a frame."""
+        changed = [
+            (name, why) for name, why in reasons.items() if self.sent_reasons.get(name) != why
+        ]
+        removed = [(name, "") for name in self.sent_reasons if name not in reasons]
+        for name, why in [*removed, *changed][:MAX_REASONS_PER_FRAME]:
             body.reasons[name] = why
             if why:
-                self.said[name] = why
+                self.sent_reasons[name] = why
             else:
-                del self.said[name]
+                del self.sent_reasons[name]
 
 
 def max_frame_age_s(skew_ms: float) -> float:
-    """Age in seconds beyond which a frame is refused, whatever the clocks make of it."""
-    return LATE_S + 4.0 * skew_ms / 1000.0 + 0.1
+    """Return the age in seconds from which a frame is dropped whatever the clocks' skew is.
+
+    Args:
+        skew_ms: The bound of a controller's clock skew in milliseconds.
+    """
+    return MAX_FRAME_DELAY_S + 4.0 * skew_ms / 1000.0 + 0.1
 
 
 def decode_frame(ctx: Context, frame: bytes) -> peer_pb2.Envelope | None:
-    """A sibling's frame, if it is readable, a sibling's, and the next one of its connection."""
+    """Return the decoded frame, or None if it has to be dropped.
+
+    A frame is dropped if it is unreadable, too old, not sent by a sibling, or not the next one
+    of its connection. The first frame of a connection must have a full summary.
+    """
     try:
         envelope = peer_pb2.Envelope.FromString(frame)
     except DecodeError:
-        log.error("peer frame of %d bytes is not readable", len(frame))
+        log.error("dropping an unreadable peer frame of %d bytes", len(frame))
         return None
     if envelope.version != PROTOCOL_VERSION:
-        log.error("peer frame of version %d dropped", envelope.version)
+        log.error("dropping a peer frame of unknown protocol version %d", envelope.version)
         return None
     if envelope.sender not in {s.member for s in ctx.settings.siblings}:
-        log.error("peer frame of unknown member %r dropped", envelope.sender[:40])
+        log.error("dropping a peer frame of unknown member %r", envelope.sender[:40])
         return None
-    skew = ctx.settings.params.skew_ms / 1000.0
-    if abs(ctx.wall_time - envelope.sent_at) > LATE_S + 2 * skew:
+    skew_s = ctx.settings.params.skew_ms / 1000.0
+    if abs(ctx.wall_time - envelope.sent_at) > MAX_FRAME_DELAY_S + 2 * skew_s:
         log.debug(
-            "peer frame of %s is %.1f s old",
+            "dropping a peer frame of %s, %.1f s old",
             envelope.sender,
             ctx.wall_time - envelope.sent_at,
         )
         return None
-    known = ctx.peers.get(envelope.sender)
-    if known is None or envelope.link > known.connection_started_at:
+    peer = ctx.peers.get(envelope.sender)
+    if peer is None or envelope.link > peer.connection_started_at:
         if not (envelope.HasField("summary") and envelope.summary.full):
             return None
-    elif envelope.link < known.connection_started_at or envelope.seq != known.sequence + 1:
-        # A held or repeated frame, or one after a gap: what is newer stands.
-        log.debug("peer frame %d of %s out of order", envelope.seq, envelope.sender)
+    elif envelope.link < peer.connection_started_at or envelope.seq != peer.sequence + 1:
+        # A delayed or repeated frame, or one after a gap, must not replace newer state.
+        log.debug("dropping out-of-order peer frame %d from %s", envelope.seq, envelope.sender)
         return None
     return envelope
 
 
 def apply_frame(ctx: Context, envelope: peer_pb2.Envelope) -> None:
-    """Note what a sibling's frame says."""
-    view = ctx.peers.get(envelope.sender)
-    if view is None or envelope.link > view.connection_started_at:
-        before = view
-        view = ctx.peers[envelope.sender] = PeerView(envelope.sender, envelope.link)
-        if before is not None:
-            view.copy_member_state(before)
-    view.sequence = envelope.seq
-    view.last_frame_at = ctx.now
+    """Store the content of a sibling's summary, as returned by `decode_frame`."""
+    peer = ctx.peers.get(envelope.sender)
+    if peer is None or envelope.link > peer.connection_started_at:
+        previous = peer
+        peer = ctx.peers[envelope.sender] = PeerView(envelope.sender, envelope.link)
+        if previous is not None:
+            peer.copy_member_state(previous)
+    peer.sequence = envelope.seq
+    peer.last_frame_at = ctx.now
     if not envelope.HasField("summary"):
         return
-    body = envelope.summary
-    if body.permit != view.lease_id:
-        view.lease_id, view.lease_id_seen_at = body.permit, ctx.now
-    view.token = body.token
-    view.state_age_s = body.state_age_s + max(0.0, ctx.wall_time - envelope.sent_at)
-    if body.HasField("cancellations"):
-        skew = 2.0 * ctx.settings.params.skew_ms / 1000.0
-        late = max(0.0, ctx.wall_time - envelope.sent_at + skew)
-        cancellations.apply_message(ctx, view, body.cancellations, Moment(ctx.now - late))
-    for item in body.machines:
+    summary = envelope.summary
+    if summary.permit != peer.lease_id:
+        peer.lease_id, peer.lease_id_seen_at = summary.permit, ctx.now
+    peer.token = summary.token
+    peer.state_age_s = summary.state_age_s + max(0.0, ctx.wall_time - envelope.sent_at)
+    if summary.HasField("cancellations"):
+        skew_s = 2.0 * ctx.settings.params.skew_ms / 1000.0
+        max_age_s = max(0.0, ctx.wall_time - envelope.sent_at + skew_s)
+        cancellations.apply_message(ctx, peer, summary.cancellations, Moment(ctx.now - max_age_s))
+    for item in summary.machines:
         machine = PeerMachine(
             item.id, item.build, item.zone, item.spot, item.session, ctx.now - item.silent_s
         )
@@ -302,38 +350,38 @@
         machine.reserved_for_gang, machine.is_idle = item.lent, item.idle
         machine.idle_since = ctx.now - item.idle_s
         machine.cached_images = frozenset(item.images)
-        view.machines[item.id] = machine
-    for id in body.dropped:
-        view.machines.pop(id, None)
-    view.is_complete = not body.more
-    view.requested_machines = frozenset(body.wanted)
-    view.unreachable_for_workers = frozenset(body.complaints)
-    for name, why in body.reasons.items():
+        peer.machines[item.id] = machine
+    for id in summary.dropped:
+        peer.machines.pop(id, None)
+    peer.is_complete = not summary.more
+    peer.requested_machines = frozenset(summary.wanted)
+    peer.unreachable_for_workers = frozenset(summary.complaints)
+    for name, why in summary.reasons.items():
         if why:
-            view.waiting_reasons[name] = why
+            peer.waiting_reasons[name] = why
         else:
-            view.waiting_reasons.pop(name, None)
-    for done in body.finished:
-        ctx.finished_runs.append((done.lane, done.seconds))
+            peer.waiting_reasons.pop(name, None)
+    for run in summary.finished:
+        ctx.finished_runs.append((run.lane, run.seconds))
     roster = ctx.view.roster
-    if roster is not None and roster.leader == envelope.sender and body.token == ctx.view.token:
-        reserve_for_gang(ctx, view.requested_machines)
+    if roster is not None and roster.leader == envelope.sender and summary.token == ctx.view.token:
+        reserve_for_gang(ctx, peer.requested_machines)
 
 
-def reserve_for_gang(ctx: Context, wanted: frozenset[str]) -> None:
-    """Place nothing new on machines of our part while the leader wants them.
+def reserve_for_gang(ctx: Context, requested_machines: frozenset[str]) -> None:
+    """Keep new tasks off own machines for a few seconds because the leader wants them for a gang.
 
-    What runs there already is in the records that the leader sees; what we are about to
-    place is not. Seen: only empty machines were lent, and a gang of small tasks, whose best
-    places were beside others, waited for ever.
+    The leader sees the tasks that run there in the records, but not those that this controller
+    is about to place. Machines with tasks are reserved as well as empty ones: otherwise a
+    gang of small tasks whose best places are beside other tasks would wait for ever.
     """
-    if not wanted:
+    if not requested_machines:
         return
-    planned = {machine for machine, _ in ctx.placements_in_flight.values()}
-    for name in wanted:
-        m = ctx.machines.get(name)
-        if m is None or not ctx.owns(m.id, m.zone) or name in planned:
+    planned = {id for id, _ in ctx.placements_in_flight.values()}
+    for name in requested_machines:
+        machine = ctx.machines.get(name)
+        if machine is None or not ctx.owns(machine.id, machine.zone) or name in planned:
             continue
-        if m.gang_reservation_until <= ctx.now:
+        if machine.gang_reservation_until <= ctx.now:
             ctx.notify_peers = True
-        m.gang_reservation_until = Moment(ctx.now + 4.0)
+        machine.gang_reservation_until = Moment(ctx.now + 4.0)
