--- a/coursefold/coordination/context.py
+++ b/coursefold/coordination/context.py
@@ -6,7 +6,7 @@
 from coursefold.coordination.placement import MachineCapacity, PriceIndex
 from coursefold.coordination.rendezvous import hash_owner
 from coursefold.policy import Policy
-from coursefold.protocol.ids import JobId, Member, Moment, WallTime
+from coursefold.protocol.ids import JobId, MemberName, MonotonicTime, WallTime
 from coursefold.protocol.wire import Catalog, Job, MachineType, TaskReport
 from coursefold.settings import CLOCK_DRIFT, Settings
 from coursefold.storage.queue import CommitQueue
@@ -53,8 +53,8 @@
         self.session = 0
         self.sequence = -1
         self.token = 0
-        self.last_report_at = Moment(0.0)
-        self.last_response_at = Moment(0.0)
+        self.last_report_at = MonotonicTime(0.0)
+        self.last_response_at = MonotonicTime(0.0)
         self.recall_at: float | None = None
         self.tasks: dict[tuple[str, int], TaskReport] = {}
         self.running_since: dict[tuple[str, int, int], float] = {}
@@ -68,7 +68,7 @@
         self.responses_lost = False
         self.no_response_since: float | None = None
         self.gang_reservation_until = 0.0
-        self.idle_since = Moment(0.0)
+        self.idle_since = MonotonicTime(0.0)
         self.lease_expired = False
 
     def record_image_use(self, image: str, size_gb: float, cache_gb: float) -> None:
@@ -138,11 +138,11 @@
         self.member, self.connection_started_at = member, connection_started_at
         self.sequence = 0
         self.token = self.lease_id = 0
-        self.lease_id_seen_at = Moment(1e18)
+        self.lease_id_seen_at = MonotonicTime(1e18)
         self.revision = self.roster_token = 0
-        self.cancellations_known_until = Moment(-1e9)
+        self.cancellations_known_until = MonotonicTime(-1e9)
         self.state_age_s = 0.0
-        self.last_frame_at = Moment(-1e9)
+        self.last_frame_at = MonotonicTime(-1e9)
         self.machines: dict[str, PeerMachine] = {}
         self.is_complete = False
         self.requested_machines: frozenset[str] = frozenset()
@@ -191,15 +191,15 @@
         self.settings, self.view, self.queue = settings, view, queue
         self.grants = GrantExpiry(view)
         self.ownership = OwnershipTable(view)
-        self.own_name = Member(settings.member)
-        self.now, self.wall_time = Moment(0.0), WallTime(0.0)
-        self.started_at: Moment | None = None
+        self.own_name = MemberName(settings.member)
+        self.now, self.wall_time = MonotonicTime(0.0), WallTime(0.0)
+        self.started_at: MonotonicTime | None = None
         self.effects: list[Effect] = []
         self.lease_id = 0
-        self.lease_until = Moment(0.0)
-        self.state_ok_at = Moment(0.0)
-        self.watch_ok_at = Moment(0.0)
-        self.token_seen_at = Moment(0.0)
+        self.lease_until = MonotonicTime(0.0)
+        self.state_ok_at = MonotonicTime(0.0)
+        self.watch_ok_at = MonotonicTime(0.0)
+        self.token_seen_at = MonotonicTime(0.0)
         self.seen_token = 0
         self.machines: dict[str, Machine] = {}
         self.peers: dict[str, PeerView] = {}
@@ -223,8 +223,8 @@
     def own_record(self) -> MemberRecord | None:
         """Return this controller's roster entry, if it belongs to this incarnation."""
         roster = self.view.roster
-        member = roster.member(self.own_name) if roster else None
-        return member if member and self.lease_id and member.permit == self.lease_id else None
+        member = roster.find_member(self.own_name) if roster else None
+        return member if member and self.lease_id and member.lease_id == self.lease_id else None
 
     def is_active(self) -> bool:
         """Return whether to decide: in the roster, lease valid, view recent enough."""
@@ -302,16 +302,16 @@
         catalog = self.view.catalog
         if catalog is not self._types_catalog:
             self._types_catalog = catalog
-            self._types = {t.name: t for t in catalog.builds} if catalog else {}
+            self._types = {t.name: t for t in catalog.machine_types} if catalog else {}
         return self._types.get(name)
 
     def price_index(self) -> PriceIndex:
         """Return the price index, built from one job of each class every few seconds."""
         catalog = self.view.catalog
         if catalog is not None and self.now - self._price_index_at > PRICE_INDEX_REFRESH_S:
-            specs_by_class = {job.spec.lane: job.spec for job in self.view.jobs.values()}
+            specs_by_class = {job.spec.job_class: job.spec for job in self.view.jobs.values()}
             self._price_index, self._price_index_at = (
-                PriceIndex(catalog.builds, specs_by_class.values()),
+                PriceIndex(catalog.machine_types, specs_by_class.values()),
                 self.now,
             )
         return self._price_index
--- a/coursefold/coordination/core.py
+++ b/coursefold/coordination/core.py
@@ -23,12 +23,12 @@
 from coursefold.coordination.requests import RequestHandler
 from coursefold.coordination.upgrade import Upgrade
 from coursefold.policy import Policy
-from coursefold.protocol.ids import JobId, Moment, WallTime
+from coursefold.protocol.ids import JobId, MonotonicTime, WallTime
 from coursefold.protocol.wire import MalformedError, decode_report
 from coursefold.settings import Settings
 from coursefold.storage import records
-from coursefold.storage.edits import LATER, Edit
-from coursefold.storage.limits import Limits
+from coursefold.storage.edits import LOW_PRIORITY, Edit
+from coursefold.storage.limits import StateServiceLimits
 from coursefold.storage.queue import CommitQueue
 from coursefold.storage.records import Ending, JobRecord, job_key
 from coursefold.storage.view import View
@@ -59,7 +59,7 @@
             txn_ops=state.txn_ops,
             value_kb=state.value_kb,
             write_rps=state.write_rps,
-            later=Limits(later.txn_ops, int(later.value_kb * 1024), later.write_rps)
+            later=StateServiceLimits(later.txn_ops, int(later.value_kb * 1024), later.write_rps)
             if state.next
             else None,
         )
@@ -78,7 +78,7 @@
         self.requests = RequestHandler(self.ctx, lambda: self.leader.waiting_reasons)
         self.was_leading = False
 
-    def set_time(self, now: Moment, wall_time: WallTime) -> None:
+    def set_time(self, now: MonotonicTime, wall_time: WallTime) -> None:
         """Set the time of the inputs that follow.
 
         Args:
@@ -146,8 +146,8 @@
                 Edit(
                     job_key(job_id),
                     jobs.move_ending(),
-                    rank=LATER,
-                    fence=self.view.token,
+                    priority=LOW_PRIORITY,
+                    fencing_token=self.view.token,
                     tag="sweep",
                 )
             )
@@ -221,7 +221,7 @@
             "version": __version__,
             "leader": roster.leader if roster else None,
             "members": [m.name for m in roster.members] if roster else [],
-            "switched": self.view.level >= records.OURS,
+            "switched": self.view.level >= records.BASE_LEVEL,
             "older": self.upgrade.controllers_without_version() if self.view.loaded else None,
         }
         for extension in self.extensions:
--- a/coursefold/coordination/demand.py
+++ b/coursefold/coordination/demand.py
@@ -73,18 +73,18 @@
         if now - self.cached_at > 30.0:
             self.cached_means_s.clear()
             self.cached_at = now
-        cached_s = self.cached_means_s.get(spec.lane)
+        cached_s = self.cached_means_s.get(spec.job_class)
         if cached_s is not None:
             return cached_s
-        samples = self.samples.get(spec.lane)
+        samples = self.samples.get(spec.job_class)
         while samples and samples[0][0] < now - RUN_TIME_WINDOW_S:
             samples.popleft()
         if samples:
-            mean_s = self.cached_means_s[spec.lane] = max(
+            mean_s = self.cached_means_s[spec.job_class] = max(
                 MIN_RUN_S, sum(run_s for _, run_s in samples) / len(samples)
             )
             return mean_s
-        return max(MIN_RUN_S, spec.estimate or DEFAULT_RUN_S)
+        return max(MIN_RUN_S, spec.estimated_run_s or DEFAULT_RUN_S)
 
 
 class UnplacedTasks(NamedTuple):
@@ -154,7 +154,7 @@
     def price_per_slot_s(self) -> float:
         """Price of one slot per second."""
         return (
-            (self.type_info.spot_price if self.spot else self.type_info.price)
+            (self.type_info.spot_price_per_hour if self.spot else self.type_info.price_per_hour)
             / 3600.0
             / self.slots_per_machine
         )
@@ -223,10 +223,12 @@
         run_s: Mean run time of the task.
         losses_per_s: Rate of losses; a loss repeats the work since the last checkpoint.
     """
-    hourly = type_info.spot_price if spot else type_info.price
-    fetch_s = spec.image_gb / type_info.fetch if type_info.fetch else 0.0
-    repeated_share = losses_per_s * (min(spec.checkpoint, run_s) if spec.checkpoint else run_s)
-    overhead_factor = 1.0 + (fetch_s + 0.3 * type_info.boot) / max(run_s, 10.0) + repeated_share
+    hourly = type_info.spot_price_per_hour if spot else type_info.price_per_hour
+    fetch_s = spec.image_gb / type_info.fetch_gb_per_s if type_info.fetch_gb_per_s else 0.0
+    repeated_share = losses_per_s * (
+        min(spec.checkpoint_interval_s, run_s) if spec.checkpoint_interval_s else run_s
+    )
+    overhead_factor = 1.0 + (fetch_s + 0.3 * type_info.boot_s) / max(run_s, 10.0) + repeated_share
     return hourly * compute_machine_share(spec, type_info) * overhead_factor
 
 
@@ -255,7 +257,7 @@
         self.blocked_until, self.loss_rates = blocked_until, loss_rates
         self.pools = {
             PoolId(type_info.name, spot): PoolDemand(type_info, spot, window_s)
-            for type_info in catalog.builds
+            for type_info in catalog.machine_types
             for spot in (False, True)
         }
 
@@ -269,10 +271,10 @@
 
     def eligible_pools(self, spec: Job) -> list[PoolId]:
         """Return the pools that the job may use, the cheapest first."""
-        run_s = self.run_times.mean_run_s(spec, self.now) if spec.shape != "standing" else 600.0
+        run_s = self.run_times.mean_run_s(spec, self.now) if spec.kind != "standing" else 600.0
         priced = []
         for pool, demand in self.pools.items():
-            if fits_machine_type(spec, demand.type_info) and (spec.spot or not pool.spot):
+            if fits_machine_type(spec, demand.type_info) and (spec.may_use_spot or not pool.spot):
                 loss_rate = self.loss_rates.get(pool, 0.0)
                 price = compute_effective_price(spec, demand.type_info, pool.spot, run_s, loss_rate)
                 priced.append(
@@ -300,7 +302,7 @@
         window; the rest goes to the next cheapest pool. Replicas are no arrivals, since they
         do not end by themselves.
         """
-        if spec.shape == "standing":
+        if spec.kind == "standing":
             return
         run_s = self.run_times.mean_run_s(spec, self.now)
         remaining = float(task_count)
@@ -335,7 +337,7 @@
             return
         task_slots = slots_of_task(spec, demand.type_info)
         demand.busy_slots += task_slots
-        if spec.shape == "standing":
+        if spec.kind == "standing":
             demand.standing_slots += task_slots
         else:
             demand.batch_slots += task_slots
@@ -355,7 +357,7 @@
         )
         for unplaced in unplaced_jobs:
             spec = unplaced.spec
-            if spec.shape == "ensemble" and unplaced.task_count > 1:
+            if spec.kind == "ensemble" and unplaced.task_count > 1:
                 self._pack_gang(unplaced, gang_capacity)
                 continue
             tasks_by_zone = dict(unplaced.tasks_by_zone)
@@ -367,7 +369,7 @@
             for placed_count in range(unplaced.task_count):
                 capacity = search.reserve_best() if search else None
                 if capacity is None:
-                    if not (spec.apart or spec.together):
+                    if not (spec.spread_zones or spec.same_zone):
                         self.failed_searches.add(spec)
                     remaining = unplaced.task_count - placed_count
                     remaining -= self._count_relieved(unplaced, remaining)
@@ -384,12 +386,12 @@
         of MAX_RELIEF_WAIT_S, arrays use up their slack in this wait and end late.
         """
         spec = unplaced.spec
-        if spec.shape == "standing":
+        if spec.kind == "standing":
             return 0
         relieved = 0
         for pool in self.eligible_pools(spec):
             demand = self.pools[pool]
-            horizon_s = max(demand.type_info.boot, min(unplaced.slack_s, MAX_RELIEF_WAIT_S))
+            horizon_s = max(demand.type_info.boot_s, min(unplaced.slack_s, MAX_RELIEF_WAIT_S))
             task_slots = slots_of_task(spec, demand.type_info)
             freed_slots = demand.batch_slots * min(
                 1.0, horizon_s / max(demand.mean_batch_run_s, 1.0)
@@ -409,7 +411,7 @@
             return
         task_slots = slots_of_task(spec, demand.type_info)
         demand.queued_slots += task_slots
-        if spec.shape == "standing":
+        if spec.kind == "standing":
             demand.standing_slots += task_slots
 
     def _pack_gang(self, unplaced: UnplacedTasks, gang_capacity: gangs.GangCandidates) -> None:
@@ -463,20 +465,20 @@
         spec = unplaced.spec
         for pool in self.eligible_pools(spec):
             open_zones = self.open_zones(pool, spec)
-            if spec.together and tasks_by_zone:
+            if spec.same_zone and tasks_by_zone:
                 open_zones = [zone for zone in open_zones if zone in tasks_by_zone]
             if not open_zones:
                 continue
             demand = self.pools[pool]
             task_slots = slots_of_task(spec, demand.type_info)
             for _ in range(task_count):
-                if spec.apart or spec.zone is not None:
+                if spec.spread_zones or spec.zone is not None:
                     zone = min(open_zones, key=lambda z: (tasks_by_zone.get(z, 0), z))
                     tasks_by_zone[zone] = tasks_by_zone.get(zone, 0) + 1
                     demand.slots_by_zone[zone] = demand.slots_by_zone.get(zone, 0.0) + task_slots
                 if spec.zone is not None and unplaced.age_s > ZONE_GROWTH_DELAY_S:
                     demand.zone_bound_slots += task_slots
-                if spec.shape == "standing":
+                if spec.kind == "standing":
                     demand.standing_slots += task_slots
                     demand.queued_slots += task_slots
                 else:
--- a/coursefold/coordination/grants.py
+++ b/coursefold/coordination/grants.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from coursefold.protocol.ids import Moment, WallTime
+from coursefold.protocol.ids import MonotonicTime, WallTime
 from coursefold.settings import CLOCK_DRIFT
 from coursefold.storage.records import JobRecord
 from coursefold.storage.view import View
@@ -21,7 +21,7 @@
     """
 
     held_until: float
-    seen_at: Moment
+    seen_at: MonotonicTime
 
 
 class GrantExpiry:
@@ -34,14 +34,14 @@
         self.view = view
         self.seen_grants: dict[str, SeenGrant] = {}  # by home cell
 
-    def observe(self, now: Moment) -> None:
+    def observe(self, now: MonotonicTime) -> None:
         """Note when recorded grants were first seen; called whenever the core's time is set."""
         for cell, link in self.view.links.items():
             known = self.seen_grants.get(cell)
             if known is None or known.held_until != link.held_until:
                 self.seen_grants[cell] = SeenGrant(link.held_until, now)
 
-    def has_expired(self, home: str, now: Moment, wall_time: WallTime) -> bool:
+    def has_expired(self, home: str, now: MonotonicTime, wall_time: WallTime) -> bool:
         """Return whether the home cell's grant has expired; True also if there is none.
 
         By the steady clock the grant ends at the latest when its full duration has passed since
@@ -54,11 +54,11 @@
         return now - seen.seen_at > link.held_s * CLOCK_DRIFT
 
     def has_job_grant_expired(
-        self, job: JobRecord | None, now: Moment, wall_time: WallTime
+        self, job: JobRecord | None, now: MonotonicTime, wall_time: WallTime
     ) -> bool:
         """Return whether the job belongs to another cell whose grant has expired."""
         return (
             job is not None
             and job.guest is not None
-            and self.has_expired(job.guest.home, now, wall_time)
+            and self.has_expired(job.guest.home_cell, now, wall_time)
         )
--- a/coursefold/coordination/inventory.py
+++ b/coursefold/coordination/inventory.py
@@ -13,9 +13,9 @@
 from coursefold.coordination.context import LEASE_DRIFT_FACTOR, Context
 from coursefold.coordination.demand import PoolId
 from coursefold.coordination.loss_tracker import LossTracker
-from coursefold.protocol.wire import Listed
+from coursefold.protocol.wire import ListedMachine
 from coursefold.storage.edits import Edit
-from coursefold.storage.records import DEALT, job_key
+from coursefold.storage.records import ASSIGNED, job_key
 
 log = logging.getLogger(__name__)
 
@@ -126,7 +126,7 @@
         if name not in self.machines and name not in self.returned_at:
             self.machines[name] = RentedMachine(name, pool.machine_type, zone, pool.spot, rented_at)
 
-    def update_from_list(self, rows: Iterable[Listed], list_interval_s: float) -> None:
+    def update_from_list(self, rows: Iterable[ListedMachine], list_interval_s: float) -> None:
         """Apply a complete machine list; machines missing for long enough count as lost.
 
         Args:
@@ -139,8 +139,8 @@
             if row.name in self.returned_at:
                 continue
             if row.name not in self.machines:
-                pool = PoolId(row.build, row.spot)
-                self.add(row.name, pool, row.zone, ctx.now - row.held - lag_s)
+                pool = PoolId(row.machine_type, row.spot)
+                self.add(row.name, pool, row.zone, ctx.now - row.age_s - lag_s)
                 log.info("machine %s found in the cloud's list (%s)", row.name, row.status)
             machine = self.machines[row.name]
             machine.listed_at = ctx.now
@@ -314,7 +314,7 @@
                 # proof. Its tasks would keep their places for ever, and a gang would never
                 # start.
                 continue
-            placed = [e for _, e in ctx.view.on_machine(name) if e.stage != DEALT]
+            placed = [e for _, e in ctx.view.on_machine(name) if e.stage != ASSIGNED]
             if not placed:
                 continue
             if ctx.owner_of(name, placed[0].zone) not in current_owners:
@@ -368,10 +368,12 @@
         """Write into the jobs' records that a machine's tasks are proven gone."""
         ctx = self.ctx
         for job_id, entry in ctx.view.on_machine(machine):
-            if entry.stage == DEALT:
+            if entry.stage == ASSIGNED:
                 continue
             change = jobs.mark_gone(entry.index, machine, entry.attempt)
-            edit = Edit(job_key(job_id), change, fence=ctx.view.token, tag=f"gone{entry.index}")
+            edit = Edit(
+                job_key(job_id), change, fencing_token=ctx.view.token, tag=f"gone{entry.index}"
+            )
             ctx.queue.propose(edit)
 
     # Time
@@ -393,7 +395,7 @@
 
     def _boot_s(self, machine: RentedMachine) -> float:
         type_info = self.ctx.find_machine_type(machine.machine_type)
-        return type_info.boot if type_info else DEFAULT_BOOT_S
+        return type_info.boot_s if type_info else DEFAULT_BOOT_S
 
     def _is_reporting(self, machine: RentedMachine) -> bool:
         """Return whether the machine's owner receives its reports."""
--- a/coursefold/coordination/lease_renewal.py
+++ b/coursefold/coordination/lease_renewal.py
@@ -75,13 +75,13 @@
         ctx = self.ctx
         peer = ctx.peers.get(owner)
         roster = ctx.view.roster
-        member = roster.member(owner) if roster else None
+        member = roster.find_member(owner) if roster else None
         max_age_s = summary.max_frame_age_s(ctx.settings.params.skew_ms)
         return (
             peer is not None
             and member is not None
             and ctx.now - ctx.watch_ok_at > max(WATCH_LOST_S, max_age_s)
             and ctx.now - peer.last_frame_at < PEER_ALIVE_S
-            and peer.lease_id != member.permit
+            and peer.lease_id != member.lease_id
             and self.may_renew()
         )
--- a/coursefold/coordination/ownership.py
+++ b/coursefold/coordination/ownership.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from coursefold.protocol.ids import Moment, WallTime
+from coursefold.protocol.ids import MonotonicTime, WallTime
 from coursefold.storage.records import ownership_key
 from coursefold.storage.share_records import MachineOwnership, MoveStage
 from coursefold.storage.view import View
@@ -25,7 +25,7 @@
 
     token: int
     revision: int
-    seen_at: Moment
+    seen_at: MonotonicTime
 
 
 class Release(NamedTuple):
@@ -55,7 +55,7 @@
         self._incarnations: dict[str, int] = {}
         self._incarnations_token = -1
 
-    def observe_changes(self, now: Moment) -> list[str]:
+    def observe_changes(self, now: MonotonicTime) -> list[str]:
         """Note changed records; return the machines whose fencing token has changed."""
         if not self.view.ownership_changed:
             return []
@@ -87,7 +87,7 @@
     def _incarnation(self, member: str) -> int | None:
         if self._incarnations_token != self.view.token:
             roster = self.view.roster
-            self._incarnations = {m.name: m.permit for m in roster.members} if roster else {}
+            self._incarnations = {m.name: m.lease_id for m in roster.members} if roster else {}
             self._incarnations_token = self.view.token
         return self._incarnations.get(member)
 
@@ -96,10 +96,10 @@
         record = self.view.ownership.get(machine)
         return self.view.token if record is None else max(self.view.token, record.token)
 
-    def seen_at(self, machine: str) -> Moment:
+    def seen_at(self, machine: str) -> MonotonicTime:
         """Return when this process first saw the machine's last handover; -inf if none."""
         handover = self.handovers.get(machine)
-        return handover.seen_at if handover else Moment(float("-inf"))
+        return handover.seen_at if handover else MonotonicTime(float("-inf"))
 
     def is_behind(self, machine: str) -> bool:
         """Return whether the view is older than the machine's handover.
@@ -118,7 +118,9 @@
         """
         record = self.view.ownership.get(machine)
         return (
-            record is not None and record.stage == MoveStage.DRAINING and wall_time < record.until
+            record is not None
+            and record.stage == MoveStage.DRAINING
+            and wall_time < record.expires_at
         )
 
     def move_in_progress(self, machine: str) -> MachineOwnership | None:
--- a/coursefold/coordination/upgrade.py
+++ b/coursefold/coordination/upgrade.py
@@ -19,8 +19,15 @@
 
 from coursefold.coordination.context import Context
 from coursefold.storage import codec, records
-from coursefold.storage.edits import FIRST, LATER, Edit, NotApplicableError, Remove, Result
-from coursefold.storage.records import JobRecord, Level, PoolRecord, Version
+from coursefold.storage.edits import (
+    HIGH_PRIORITY,
+    LOW_PRIORITY,
+    DeleteKey,
+    Edit,
+    EditResult,
+    NotApplicableError,
+)
+from coursefold.storage.records import FormatLevel, JobRecord, MemberVersion, PoolRecord
 
 log = logging.getLogger(__name__)
 
@@ -53,7 +60,7 @@
         self.last_check_at = -1e9
         self.last_reported: list[str] | None = None
         self.unchecked_keys: list[str] | None = None
-        self.required_level = records.OURS
+        self.required_level = records.BASE_LEVEL
 
     @property
     def target_level(self) -> int:
@@ -62,7 +69,7 @@
         The formats of a subsystem are used only from when every controller has its
         configuration file. From then on they are read and kept without that file, too.
         """
-        return max(self.required_level, min(self.ctx.view.level, records.NEWEST))
+        return max(self.required_level, min(self.ctx.view.level, records.NEWEST_LEVEL))
 
     def require_level(self, level: int) -> None:
         """Require a format level for an enabled subsystem; to be called before the first tick."""
@@ -71,17 +78,17 @@
     def announce_version(self) -> None:
         """Write this process's version record, in the transaction in which it joins."""
         ctx = self.ctx
-        own_version = Version(self.target_level, ctx.lease_id)
+        own_version = MemberVersion(self.target_level, ctx.lease_id)
         if not ctx.lease_id or ctx.view.versions.get(ctx.own_name) == own_version:
             return
 
-        def change(current: Struct | None) -> Result:
-            if current == own_version or own_version.permit != ctx.lease_id:
+        def change(current: Struct | None) -> EditResult:
+            if current == own_version or own_version.lease_id != ctx.lease_id:
                 raise NotApplicableError("known")
             return own_version
 
         key = records.version_key(ctx.own_name)
-        ctx.queue.propose(Edit(key, change, rank=FIRST, tag=f"version{ctx.lease_id}"))
+        ctx.queue.propose(Edit(key, change, priority=HIGH_PRIORITY, tag=f"version{ctx.lease_id}"))
 
     def has_current_version(self, member: str) -> bool:
         """Return whether the member's live process can read the formats in use.
@@ -97,7 +104,7 @@
         """Return the format level of a live member's process, 0 for one of an older version."""
         live = self.ctx.view.members.get(member)
         known = self.ctx.view.versions.get(member)
-        return known.level if live and known and known.permit == live.permit else 0
+        return known.level if live and known and known.lease_id == live.lease_id else 0
 
     def controllers_without_version(self) -> list[str]:
         """Return the configured controllers that are not known to have this version."""
@@ -152,19 +159,19 @@
         ctx = self.ctx
         for name, known in list(ctx.view.versions.items()):
             live = ctx.view.members.get(name)
-            if live is None or live.permit == known.permit:
+            if live is None or live.lease_id == known.lease_id:
                 self.stale_since.pop(name, None)
             elif ctx.now - self.stale_since.setdefault(name, ctx.now) > MAX_STALE_VERSION_S:
                 self._remove(records.version_key(name), known)
                 log.error("controller %s has returned with an older version", name)
 
     def _remove(self, key: str, known: Struct) -> None:
-        def change(current: Struct | None) -> Result:
+        def change(current: Struct | None) -> EditResult:
             if current != known:
                 raise NotApplicableError("changed")
-            return Remove()
+            return DeleteKey()
 
-        self.ctx.queue.propose(Edit(key, change, fence=self.ctx.view.token, tag="remove"))
+        self.ctx.queue.propose(Edit(key, change, fencing_token=self.ctx.view.token, tag="remove"))
 
     def _commit_level(self) -> None:
         ctx = self.ctx
@@ -176,12 +183,18 @@
         ):
             return
 
-        def change(current: Struct | None) -> Result:
-            if isinstance(current, Level) and current.level >= level:
+        def change(current: Struct | None) -> EditResult:
+            if isinstance(current, FormatLevel) and current.level >= level:
                 raise NotApplicableError("switched")
-            return Level(level, without_version)
-
-        edit = Edit(records.LEVEL, change, rank=FIRST, fence=ctx.view.token, tag="switch")
+            return FormatLevel(level, without_version)
+
+        edit = Edit(
+            records.FORMAT_LEVEL_KEY,
+            change,
+            priority=HIGH_PRIORITY,
+            fencing_token=ctx.view.token,
+            tag="switch",
+        )
         if ctx.queue.propose(edit):
             given_up_note = f" (given up: {', '.join(without_version)})" if without_version else ""
             log.info(
@@ -195,13 +208,13 @@
         ctx = self.ctx
         view = ctx.view
         machine_types = view.catalog
-        if machine_types is not None and records.TYPES not in view.held:
-            self._rewrite(records.TYPES, machine_types)
-        elif (old := view.held.get(records.CATALOG)) is not None:
-            self._remove(records.CATALOG, old.record)
+        if machine_types is not None and records.MACHINE_TYPES_KEY not in view.held:
+            self._rewrite(records.MACHINE_TYPES_KEY, machine_types)
+        elif (old := view.held.get(records.CATALOG_KEY)) is not None:
+            self._remove(records.CATALOG_KEY, old.record)
         if self.unchecked_keys is None:
             self.unchecked_keys = [
-                k for k in view.held if k.startswith((records.JOBS, records.POOLS))
+                k for k in view.held if k.startswith((records.JOB_PREFIX, records.POOL_PREFIX))
             ]
         checked_keys, self.unchecked_keys = (
             self.unchecked_keys[:RECORDS_PER_CHECK],
@@ -211,8 +224,11 @@
             stored = view.held.get(key)
             if stored is None or not isinstance(stored.record, JobRecord | PoolRecord):
                 continue
-            value = codec.dump(stored.record, view.level)
-            if key not in view.spread and codec.size(value) > ctx.queue.limits.value:
+            value = codec.encode_record(stored.record, view.level)
+            if (
+                key not in view.spread
+                and codec.json_size_bytes(value) > ctx.queue.limits.value_bytes
+            ):
                 self._rewrite(key, None)
 
     def _rewrite(self, key: str, if_absent: Struct | None) -> None:
@@ -223,10 +239,12 @@
             if_absent: What to write if there is no record; None to leave it absent.
         """
 
-        def change(current: Struct | None) -> Result:
+        def change(current: Struct | None) -> EditResult:
             if current is None and if_absent is None:
                 raise NotApplicableError("gone")
             return current or if_absent  # type: ignore[return-value]
 
-        edit = Edit(key, change, rank=LATER, fence=self.ctx.view.token, tag="rewrite")
+        edit = Edit(
+            key, change, priority=LOW_PRIORITY, fencing_token=self.ctx.view.token, tag="rewrite"
+        )
         self.ctx.queue.propose(edit)
--- a/tests/production.py
+++ b/tests/production.py
@@ -83,6 +83,11 @@
     "coordination.forward": {"Forwarding": {"receive_proposals": "proposals"}},
 }
 
+# The same for functions of modules: module, new name, old name.
+FUNCTION_ALIASES: dict[str, dict[str, str]] = {
+    "storage.records": {"decode_record": "parse", "encode_record": "dump"},
+}
+
 
 def _alias(old: str) -> property:
     return property(lambda self: getattr(self, old), lambda self, to: setattr(self, old, to))
@@ -95,6 +100,10 @@
             kind = getattr(importlib.import_module(f"{NAME}.{module}"), name)
             for new, old in attributes.items():
                 setattr(kind, new, _alias(old))
+    for module, functions in FUNCTION_ALIASES.items():
+        source = importlib.import_module(f"{NAME}.{module}")
+        for new, old in functions.items():
+            setattr(source, new, getattr(source, old))
 
 
 # Effects by their names here, and their names in production.
