--- a/coursefold/coordination/cancellations.py
+++ b/coursefold/coordination/cancellations.py
@@ -20,7 +20,7 @@
 
 from coursefold.coordination.context import Context, PeerView
 from coursefold.protocol import peer_pb2
-from coursefold.protocol.ids import JobId, Moment, is_job_id
+from coursefold.protocol.ids import JobId, MonotonicTime, is_job_id
 from coursefold.storage import records
 from coursefold.storage.records import job_key
 
@@ -76,7 +76,7 @@
 
 
 def apply_message(
-    ctx: Context, peer: PeerView, message: peer_pb2.Cancellations, sent_at: Moment
+    ctx: Context, peer: PeerView, message: peer_pb2.Cancellations, sent_at: MonotonicTime
 ) -> None:
     """Store a sibling's cancellations, and until when all that it confirmed is known here.
 
@@ -115,10 +115,10 @@
     lease id was known before the last update.
     """
     roster = ctx.view.roster
-    member = roster.member(peer.member) if roster else None
+    member = roster.find_member(peer.member) if roster else None
     if not peer.lease_id:
         return False
-    return (member is not None and member.permit == peer.lease_id) or (
+    return (member is not None and member.lease_id == peer.lease_id) or (
         peer.lease_id_seen_at <= ctx.watch_ok_at
     )
 
--- a/coursefold/coordination/effects.py
+++ b/coursefold/coordination/effects.py
@@ -2,7 +2,7 @@
 
 from typing import Any, NamedTuple
 
-from coursefold.protocol.wire import Order
+from coursefold.protocol.wire import Command
 
 
 class Response(NamedTuple):
@@ -70,7 +70,7 @@
     address: str
     token: int
     session: int
-    commands: list[Order]
+    commands: list[Command]
 
 
 Effect = Response | RefreshView | ReadJobResult | CloudCall | NotifyPeers | SendCommands
--- a/coursefold/coordination/election.py
+++ b/coursefold/coordination/election.py
@@ -15,7 +15,7 @@
 from coursefold.coordination.rendezvous import rendezvous_weight
 from coursefold.coordination.upgrade import Upgrade
 from coursefold.storage import records
-from coursefold.storage.edits import FIRST, Change, Edit, NotApplicableError, Result
+from coursefold.storage.edits import HIGH_PRIORITY, Change, Edit, EditResult, NotApplicableError
 from coursefold.storage.records import MemberRecord, Roster
 
 log = logging.getLogger(__name__)
@@ -96,7 +96,7 @@
         if not ctx.view.loaded or not ctx.lease_id or ctx.now >= ctx.lease_until:
             return
         own_record = ctx.view.members.get(ctx.own_name)
-        if own_record is None or own_record.permit != ctx.lease_id:
+        if own_record is None or own_record.lease_id != ctx.lease_id:
             self._join()
             return
         if not self.upgrade.has_current_version(ctx.own_name):
@@ -149,7 +149,7 @@
 
     def _leader_is_live(self, roster: Roster) -> bool:
         """Return whether the leader is reachable and still the same incarnation with its lease."""
-        leader = roster.member(roster.leader)
+        leader = roster.find_member(roster.leader)
         return (
             leader is not None
             and self.ctx.view.members.get(leader.name) == leader
@@ -195,7 +195,7 @@
         """Return the own rank among the candidates; members of the last roster come first."""
 
         def key(member: MemberRecord) -> tuple[bool, bytes]:
-            is_known = roster is not None and roster.member(member.name) == member
+            is_known = roster is not None and roster.find_member(member.name) == member
             return (not is_known, rendezvous_weight(member.name, str(self.ctx.view.token)))
 
         candidates = sorted(members, key=key)
@@ -212,29 +212,33 @@
         self.upgrade.announce_version()
         record = MemberRecord(ctx.own_name, ctx.lease_id, ctx.settings.zone)
 
-        def change(current: Struct | None) -> Result:
+        def change(current: Struct | None) -> EditResult:
             if current == record:
                 raise NotApplicableError("member already")
-            if record.permit != ctx.lease_id:
+            if record.lease_id != ctx.lease_id:
                 raise NotApplicableError("lease replaced")
             return record
 
         key = records.member_key(ctx.own_name)
-        edit = Edit(key, change, rank=FIRST, permit=ctx.lease_id, tag=f"join{ctx.lease_id}")
+        edit = Edit(
+            key, change, priority=HIGH_PRIORITY, lease_id=ctx.lease_id, tag=f"join{ctx.lease_id}"
+        )
         if ctx.queue.propose(edit):
             log.info("joining as member %s with lease %d", ctx.own_name, ctx.lease_id)
 
     def _commit_roster(self, roster: Roster, why: str) -> None:
         ctx = self.ctx
-        seen_version = ctx.view.stamp(records.ROSTER)
+        seen_version = ctx.view.stamp(records.ROSTER_KEY)
 
-        def change(current: Struct | None) -> Result:
-            if ctx.view.stamp(records.ROSTER) != seen_version:
+        def change(current: Struct | None) -> EditResult:
+            if ctx.view.stamp(records.ROSTER_KEY) != seen_version:
                 raise NotApplicableError("roster moved on")
             return msgspec.structs.replace(roster)
 
         roster_change: Change = change
-        edit = Edit(records.ROSTER, roster_change, rank=FIRST, tag=f"roster{seen_version}")
+        edit = Edit(
+            records.ROSTER_KEY, roster_change, priority=HIGH_PRIORITY, tag=f"roster{seen_version}"
+        )
         if ctx.queue.propose(edit):
             names = ",".join(m.name for m in roster.members)
             log.info("roster: leader %s, members %s (%s)", roster.leader, names, why)
--- a/coursefold/coordination/fleet.py
+++ b/coursefold/coordination/fleet.py
@@ -26,9 +26,9 @@
 from coursefold.coordination.placement import MachineOffering
 from coursefold.coordination.pools import MAX_PERIOD_S, PoolControl
 from coursefold.coordination.rentals import RentalManager
-from coursefold.protocol.wire import Catalog, Listed, MachineList, MalformedError, decode
+from coursefold.protocol.wire import Catalog, ListedMachine, MachineList, MalformedError, decode
 from coursefold.storage import records
-from coursefold.storage.edits import LATER, Edit, NotApplicableError, Result
+from coursefold.storage.edits import LOW_PRIORITY, Edit, EditResult, NotApplicableError
 
 log = logging.getLogger(__name__)
 
@@ -72,7 +72,7 @@
         self.rentals.reset()
         self.pool_control.reset()
         self.cloud.discard_pending()
-        self.listed_machines: list[Listed] = []
+        self.listed_machines: list[ListedMachine] = []
         self.page_start = ""
         self.lists_read = 0
         self.list_requested_at = -math.inf
@@ -114,27 +114,29 @@
     def _record_catalog(self, catalog: Catalog) -> None:
         self.catalog_read_at = self.ctx.now
 
-        def change(current: Struct | None) -> Result:
+        def change(current: Struct | None) -> EditResult:
             if current == catalog:
                 raise NotApplicableError("same")
             return catalog
 
-        for type_info in catalog.builds:
+        for type_info in catalog.machine_types:
             log.debug(
                 "type %s: %g cpus, %g accelerators, %g GB, %g an hour, %g when spot",
-                type_info.name, type_info.cpus, type_info.gpus, type_info.memory, type_info.price,
-                type_info.spot_price,
+                type_info.name, type_info.cpus, type_info.gpus, type_info.memory_gb,
+                type_info.price_per_hour, type_info.spot_price_per_hour,
             )  # fmt: skip
-        key = records.TYPES if self.ctx.view.level else records.CATALOG
+        key = records.MACHINE_TYPES_KEY if self.ctx.view.level else records.CATALOG_KEY
         fence = self.ctx.view.token
-        self.ctx.queue.propose(Edit(key, change, fence=fence, rank=LATER, tag="catalog"))
+        self.ctx.queue.propose(
+            Edit(key, change, fencing_token=fence, priority=LOW_PRIORITY, tag="catalog")
+        )
 
     def _add_page(self, request: ListRequest, page: MachineList) -> None:
         """Add a page to the list that is being read; pass the list on once it is complete."""
         if request.start_after != self.page_start:
             return
         self.listed_machines.extend(page.machines)
-        if page.more and page.machines:
+        if page.has_more and page.machines:
             self.page_start = page.machines[-1].name
             self._request_list()
             return
--- a/coursefold/coordination/forward.py
+++ b/coursefold/coordination/forward.py
@@ -15,7 +15,7 @@
 from coursefold.coordination.summary import PeerFrameBuilder
 from coursefold.protocol import peer_pb2
 from coursefold.protocol.ids import JobId, is_job_id
-from coursefold.storage.edits import SOON, Edit
+from coursefold.storage.edits import NORMAL_PRIORITY, Edit
 from coursefold.storage.records import job_key
 
 log = logging.getLogger(__name__)
@@ -164,7 +164,11 @@
 
             ctx.queue.propose(
                 Edit(
-                    job_key(job), transition.to_change(), rank=SOON, fence=item.token, done=settled
+                    job_key(job),
+                    transition.to_change(),
+                    priority=NORMAL_PRIORITY,
+                    fencing_token=item.token,
+                    on_settled=settled,
                 )
             )
 
--- a/coursefold/coordination/gangs.py
+++ b/coursefold/coordination/gangs.py
@@ -36,7 +36,7 @@
             machine.has_protected_accelerators and price_index.blocks_accelerators(spec, machine)
         )
     ]
-    zones = sorted({machine.zone for machine in usable}) if spec.together else [""]
+    zones = sorted({machine.zone for machine in usable}) if spec.same_zone else [""]
     compute_cost = PlacementCost(spec, price_index, slack_s)
     costs = {machine.id: compute_cost(machine) for machine in usable}
     by_cost = sorted(usable, key=lambda machine: costs[machine.id])
@@ -59,19 +59,19 @@
     plan: list[MachineCapacity] = []
     images_before: dict[str, dict[str, float]] = {}
     for machine in machines:
-        while len(plan) < spec.tasks and machine.fits_task(spec):
+        while len(plan) < spec.task_count and machine.fits_task(spec):
             if zone_limit is not None and tasks_by_zone.get(machine.zone, 0) >= zone_limit:
                 break
             images_before.setdefault(machine.id, machine.task_images_gb)
             machine.reserve(spec)
             plan.append(machine)
             tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + 1
-        if len(plan) == spec.tasks:
+        if len(plan) == spec.task_count:
             break
     for machine in plan:
         machine.release(spec)
         machine.task_images_gb = images_before[machine.id]
-    return plan if len(plan) == spec.tasks else None
+    return plan if len(plan) == spec.task_count else None
 
 
 class GangCandidates:
@@ -92,7 +92,11 @@
 
     @staticmethod
     def _make_key(spec: Job) -> tuple[object, ...]:
-        return (None if spec.builds is None else tuple(spec.builds), spec.zone, spec.spot)
+        return (
+            None if spec.machine_types is None else tuple(spec.machine_types),
+            spec.zone,
+            spec.may_use_spot,
+        )
 
     def find_usable(self, spec: Job) -> list[MachineCapacity]:
         """Return the machines that the job allows and that take new tasks."""
@@ -105,7 +109,7 @@
 
     def find_fitting(self, spec: Job) -> list[MachineCapacity]:
         """Return the usable machines on which one task of the job fits."""
-        key = (*self._make_key(spec), spec.cpus, spec.gpus, spec.memory)
+        key = (*self._make_key(spec), spec.cpus, spec.gpus, spec.memory_gb)
         found = self._fitting.get(key)
         if found is None:
             found = self.find_usable(spec)
@@ -121,7 +125,7 @@
         hold a part of each machine and the cloud has no more, arrays would wait for minutes
         beside the free parts.
         """
-        key = (*self._make_key(spec), spec.together, spec.cpus, spec.gpus, spec.memory)
+        key = (*self._make_key(spec), spec.same_zone, spec.cpus, spec.gpus, spec.memory_gb)
         max_tasks = self._max_tasks.get(key)
         if max_tasks is None:
             counts: dict[str, int] = {}
@@ -129,10 +133,10 @@
                 if may_run_on(spec, machine) and not (
                     machine.is_unschedulable and not machine.earmarked_for_gang
                 ):
-                    zone = machine.zone if spec.together else ""
+                    zone = machine.zone if spec.same_zone else ""
                     counts[zone] = counts.get(zone, 0) + machine.count_tasks_beside_replicas(spec)
             max_tasks = self._max_tasks[key] = max(counts.values(), default=0)
-        return max_tasks >= spec.tasks
+        return max_tasks >= spec.task_count
 
     def find_to_earmark(self, spec: Job) -> list[MachineCapacity]:
         """Return machines to keep free for a gang that does not fit yet.
@@ -141,7 +145,7 @@
         call in the round: tasks placed since change it little, and it only decides which
         machines less important work is kept off.
         """
-        key = (*self._make_key(spec), spec.together)
+        key = (*self._make_key(spec), spec.same_zone)
         by_zone = self._emptiest.get(key)
         if by_zone is None:
             by_zone = self._emptiest[key] = {}
@@ -149,7 +153,7 @@
                 self.find_usable(spec),
                 key=lambda candidate: (candidate.largest_free_share, candidate.id),
             ):
-                by_zone.setdefault(machine.zone if spec.together else "", []).append(machine)
+                by_zone.setdefault(machine.zone if spec.same_zone else "", []).append(machine)
         best: list[MachineCapacity] = []
         most_free = -1.0
         for _, machines in sorted(by_zone.items()):
@@ -157,7 +161,7 @@
                 machines.pop()
             plan: list[MachineCapacity] = []
             for machine in reversed(machines):
-                if len(plan) == spec.tasks:
+                if len(plan) == spec.task_count:
                     break
                 if not machine.is_unschedulable:
                     plan.append(machine)
--- a/coursefold/coordination/jobs.py
+++ b/coursefold/coordination/jobs.py
@@ -6,17 +6,29 @@
 is removed only when the task is done or is known not to run on its machine any more.
 """
 
-from collections.abc import Sequence
-from typing import NamedTuple
 
-import msgspec
-from msgspec import Struct
 
+import msgspec
+from collections.abc import Sequence
 from coursefold.protocol.wire import Job
 from coursefold.storage import records
-from coursefold.storage.cell_records import AwayStage, Guest, GuestStage
-from coursefold.storage.edits import Change, End, NotApplicableError, Result
-from coursefold.storage.records import DEALT, PLACED, STOPPING, Ending, Entry, JobRecord
+from coursefold.storage.cell_records import DelegationStage
+from coursefold.storage.cell_records import Guest
+from coursefold.storage.cell_records import GuestStage
+from coursefold.storage.edits import ArchiveEnding
+from coursefold.storage.edits import Change
+from coursefold.storage.edits import EditResult
+from coursefold.storage.edits import NotApplicableError
+from coursefold.storage.records import ASSIGNED
+from coursefold.storage.records import Ending
+from coursefold.storage.records import JobRecord
+from coursefold.storage.records import PLACED
+from coursefold.storage.records import STOPPING
+from coursefold.storage.records import TaskEntry
+from msgspec import Struct
+from typing import NamedTuple
+
+
 
 
 def _require_job(record: Struct | None) -> JobRecord:
@@ -39,14 +51,14 @@
     too early.
     """
     job = _require_live_job(record)
-    if job.needs:
+    if job.open_prerequisites:
         raise NotApplicableError("waits for other jobs")
     if not job.may_start:
         raise NotApplicableError("another cell's to run, or not granted to us")
     return job
 
 
-def end_if_complete(job: JobRecord) -> Result:
+def end_if_complete(job: JobRecord) -> EditResult:
     """Return the job's ending if nothing is left to do, else the record itself.
 
     The ending replaces the record under the same key, which is a single change; `move_ending`
@@ -57,19 +69,19 @@
     """
     if job.guest is not None:
         return _end_guest_if_complete(job, job.guest)
-    if job.is_away:
+    if job.is_delegated:
         return job
     if job.status == records.CANCELLED and not job.entries:
-        return Ending(records.CANCELLED, job.spec.tasks)
-    if job.status == records.LIVE and job.done_count >= job.spec.tasks:
-        return Ending(records.DONE, job.spec.tasks)
+        return Ending(records.CANCELLED, job.spec.task_count)
+    if job.status == records.LIVE and job.done_count >= job.spec.task_count:
+        return Ending(records.DONE, job.spec.task_count)
     return job
 
 
 def _end_guest_if_complete(job: JobRecord, guest: Guest) -> JobRecord:
     if job.entries or guest.stage in (GuestStage.RELEASED, GuestStage.FINISHED):
         return job
-    if job.done_count >= job.spec.tasks:
+    if job.done_count >= job.spec.task_count:
         stage = GuestStage.FINISHED
     elif job.status == records.CANCELLED:
         stage = GuestStage.RELEASED
@@ -84,11 +96,11 @@
     A starting controller reads all live jobs' keys, and need not read ended jobs.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         if not isinstance(record, Ending):
             raise NotApplicableError("not ended")
         # Only dependent jobs use the time of the end, and none is left.
-        return End(Ending(record.status, record.tasks))
+        return ArchiveEnding(Ending(record.status, record.task_count))
 
     return change
 
@@ -109,16 +121,12 @@
             never start; it is stored as cancelled then.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         if record is not None:
             raise NotApplicableError("known")
         if has_cancelled_prerequisite:
-            return Ending(records.CANCELLED, spec.tasks)
-        return JobRecord(
-            msgspec.structs.replace(spec, prereqs=None),
-            submitted_at,
-            needs=list(open_prerequisites),
-        )
+            return Ending(records.CANCELLED, spec.task_count)
+        return JobRecord(msgspec.structs.replace(spec, prerequisites=None), submitted_at, open_prerequisites=list(open_prerequisites))
 
     return change
 
@@ -133,11 +141,11 @@
         ready_at: Wall-clock time in seconds from which the job could start.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _require_live_job(record)
-        if not job.needs:
+        if not job.open_prerequisites:
             raise NotApplicableError("waits for nothing")
-        return msgspec.structs.replace(job, needs=[], ready=ready_at)
+        return msgspec.structs.replace(job, open_prerequisites=[], ready_at=ready_at)
 
     return change
 
@@ -148,11 +156,11 @@
     Such a job has never had an entry, so there are no tasks to stop.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _require_live_job(record)
-        if not job.needs or job.entries:
+        if not job.open_prerequisites or job.entries:
             raise NotApplicableError("waits for nothing")
-        return Ending(records.CANCELLED, job.spec.tasks)
+        return Ending(records.CANCELLED, job.spec.task_count)
 
     return change
 
@@ -164,15 +172,15 @@
     been placed. Tasks that were assigned but not placed are dropped.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _require_live_job(record)
-        placed = [e for e in job.entries if e.stage != DEALT]
-        away = job.away
-        if away is not None and away.stage == AwayStage.OFFERED:
+        placed = [e for e in job.entries if e.stage != ASSIGNED]
+        away = job.delegation
+        if away is not None and away.stage == DelegationStage.OFFERED:
             # The other cell may not start the job without a grant, and none will be given.
-            away = msgspec.structs.replace(away, stage=AwayStage.HOME)
+            away = msgspec.structs.replace(away, stage=DelegationStage.HOME)
         return end_if_complete(
-            msgspec.structs.replace(job, status=records.CANCELLED, entries=placed, away=away)
+            msgspec.structs.replace(job, status=records.CANCELLED, entries=placed, delegation=away)
         )
 
     return change
@@ -190,11 +198,11 @@
 def assign(tasks: list[Assignment]) -> Change:
     """Return an edit that assigns waiting tasks to owners, without those that no longer wait."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _require_startable_job(record)
         with_entry = {e.index for e in job.entries}
         new_entries = [
-            Entry(t.number, DEALT, job.attempt, t.owner, t.zone, t.machine)
+            TaskEntry(t.number, ASSIGNED, job.attempt, t.owner, t.zone, t.machine)
             for t in tasks
             if t.number not in with_entry and not job.is_done(t.number)
         ]
@@ -208,12 +216,12 @@
 def unassign(index: int, owner: str) -> Change:
     """Return an edit that takes an assigned task back because its owner has no place for it."""
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _require_live_job(record)
         remaining = [
             e
             for e in job.entries
-            if not (e.index == index and e.stage == DEALT and e.owner == owner)
+            if not (e.index == index and e.stage == ASSIGNED and e.owner == owner)
         ]
         if len(remaining) == len(job.entries):
             raise NotApplicableError("not dealt")
@@ -242,7 +250,7 @@
     assigned to another owner are left out.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _require_startable_job(record)
         entries = {e.index: e for e in job.entries}
         attempt = job.attempt
@@ -250,10 +258,10 @@
             current = entries.get(task.number)
             if job.is_done(task.number):
                 continue
-            if current is not None and (current.stage != DEALT or current.owner != owner):
+            if current is not None and (current.stage != ASSIGNED or current.owner != owner):
                 continue
             attempt += 1
-            entries[task.number] = Entry(
+            entries[task.number] = TaskEntry(
                 task.number, PLACED, attempt, owner, task.zone, task.machine, task.session
             )
         if attempt == job.attempt:
@@ -273,13 +281,13 @@
         places: One (owner, zone, machine, session) for each task, in the tasks' order.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _require_startable_job(record)
-        if job.entries or len(places) != job.spec.tasks:
+        if job.entries or len(places) != job.spec.task_count:
             raise NotApplicableError("not waiting")
         attempt = job.attempt + 1
         entries = [
-            Entry(i, PLACED, attempt, owner, zone, machine, session)
+            TaskEntry(i, PLACED, attempt, owner, zone, machine, session)
             for i, (owner, zone, machine, session) in enumerate(places)
         ]
         return msgspec.structs.replace(job, attempt=attempt, entries=entries)
@@ -295,7 +303,7 @@
         attempt: The attempt to stop.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _require_job(record)
         entries = [
             msgspec.structs.replace(e, stage=STOPPING)
@@ -310,7 +318,7 @@
     return change
 
 
-def _entries_without(job: JobRecord, index: int, machine: str, attempt: int) -> list[Entry]:
+def _entries_without(job: JobRecord, index: int, machine: str, attempt: int) -> list[TaskEntry]:
     remaining = [
         e
         for e in job.entries
@@ -327,7 +335,7 @@
     The task waits again; if its job is cancelled and this was the last entry, the job ends.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _require_job(record)
         return end_if_complete(
             msgspec.structs.replace(job, entries=_entries_without(job, index, machine, attempt))
@@ -342,18 +350,20 @@
     The tasks of a gang complete together: if one is done, all are.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _require_job(record)
         remaining = _entries_without(job, index, machine, attempt)
         if job.status == records.CANCELLED:
             return end_if_complete(msgspec.structs.replace(job, entries=remaining))
-        if job.spec.shape == "ensemble":
+        if job.spec.kind == "ensemble":
             if job.guest is None:
-                return Ending(records.DONE, job.spec.tasks)
-            all_tasks = [(0, job.spec.tasks - 1)]
-            return end_if_complete(msgspec.structs.replace(job, entries=[], done=all_tasks))
-        done = records.add_done(job.done, index)
-        return end_if_complete(msgspec.structs.replace(job, entries=remaining, done=done, errors=0))
+                return Ending(records.DONE, job.spec.task_count)
+            all_tasks = [(0, job.spec.task_count - 1)]
+            return end_if_complete(msgspec.structs.replace(job, entries=[], done_ranges=all_tasks))
+        done = records.add_to_ranges(job.done_ranges, index)
+        return end_if_complete(
+            msgspec.structs.replace(job, entries=remaining, done_ranges=done, failure_count=0)
+        )
 
     return change
 
@@ -372,15 +382,15 @@
         failed_at: Wall-clock time of the failure in seconds.
     """
 
-    def change(record: Struct | None) -> Result:
+    def change(record: Struct | None) -> EditResult:
         job = _require_job(record)
-        errors = job.errors + 1
+        errors = job.failure_count + 1
         retry_delay_s = min(60.0, 0.5 * 2 ** min(errors - 1, 7))
         return end_if_complete(
             msgspec.structs.replace(
                 job,
                 entries=_entries_without(job, index, machine, attempt),
-                errors=errors,
+                failure_count=errors,
                 retry_at=failed_at + retry_delay_s,
                 # The next attempt runs elsewhere, to tell a faulty machine from a faulty job.
                 failed_on=[*(m for m in job.failed_on if m != machine), machine][-4:],
--- a/coursefold/coordination/leader.py
+++ b/coursefold/coordination/leader.py
@@ -33,7 +33,7 @@
 )
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
-from coursefold.storage.edits import LATER, Edit
+from coursefold.storage.edits import LOW_PRIORITY, Edit
 from coursefold.storage.records import PLACED, JobRecord, job_key
 
 log = logging.getLogger(__name__)
@@ -63,9 +63,9 @@
 def may_use_offering(spec: Job, offering: MachineOffering) -> bool:
     """Return whether the job allows the offering's machine type, zone and spot."""
     return (
-        (spec.builds is None or offering.machine_type in spec.builds)
+        (spec.machine_types is None or offering.machine_type in spec.machine_types)
         and (spec.zone is None or spec.zone == offering.zone)
-        and (spec.spot or not offering.spot)
+        and (spec.may_use_spot or not offering.spot)
     )
 
 
@@ -115,8 +115,8 @@
         """Return how many tasks at once the record of one job has room for."""
         queue = self.ctx.queue
         if self.ctx.view.level:
-            return max(4, queue.limits.value * queue.most_parts() // PACKED_ENTRY_BYTES)
-        return max(4, int((queue.limits.value - RECORD_BYTES) / ENTRY_BYTES))
+            return max(4, queue.limits.value_bytes * queue.most_parts() // PACKED_ENTRY_BYTES)
+        return max(4, int((queue.limits.value_bytes - RECORD_BYTES) / ENTRY_BYTES))
 
     def list_queued_jobs(self, quota: QuotaTracker) -> list[QueuedJob]:
         """Return the jobs that could start a task now, the most urgent first."""
@@ -167,7 +167,7 @@
         without_accelerators = [queued for queued in queue if not queued.job.spec.gpus]
         with_accelerators = [queued for queued in queue if queued.job.spec.gpus]
         for queued in with_accelerators:
-            if not queued.job.spec.spot:
+            if not queued.job.spec.may_use_spot:
                 lacks_capacity |= not self._serve_job(queued, machines, candidates, quota)
         all_machines = machines
         if lacks_capacity:
@@ -175,7 +175,7 @@
             machines = [m for m in machines if m.spot or m.type_info.name not in needed_types]
             candidates = self._make_gang_candidates(machines)
         for queued in with_accelerators:
-            if queued.job.spec.spot:
+            if queued.job.spec.may_use_spot:
                 self._serve_job(queued, machines, candidates, quota)
         if not without_accelerators:
             return
@@ -231,7 +231,7 @@
         quota: QuotaTracker,
     ) -> bool:
         """Place what can be placed of a job; return False if it lacks machines."""
-        if queued.job.spec.shape == "ensemble" and queued.job.spec.tasks > 1:
+        if queued.job.spec.kind == "ensemble" and queued.job.spec.task_count > 1:
             self._serve_gang(queued, candidates, quota)
         else:
             self._serve_tasks(queued, machines, quota)
@@ -240,7 +240,7 @@
     def _explain_no_capacity(self, job: JobRecord) -> str:
         """Return, in its user's words, why no machine has room for a task of the job."""
         spec = job.spec
-        key = (tuple(spec.builds or ()), spec.zone, spec.spot)
+        key = (tuple(spec.machine_types or ()), spec.zone, spec.may_use_spot)
         reason = self.no_capacity_reasons.get(key)
         if reason is None:
             reason = self.no_capacity_reasons[key] = self._find_no_capacity_reason(spec)
@@ -277,14 +277,14 @@
         ctx = self.ctx
         roster = ctx.view.roster
         for owner, assigned in ctx.view.dealt.items():
-            if roster is not None and roster.member(owner) is not None:
+            if roster is not None and roster.find_member(owner) is not None:
                 continue
             for (name, index), _ in assigned.items():
                 ctx.queue.propose(
                     Edit(
                         job_key(name),
                         jobs.unassign(index, owner),
-                        fence=ctx.view.token,
+                        fencing_token=ctx.view.token,
                         tag=f"undeal{index}",
                     )
                 )
@@ -300,8 +300,8 @@
                 Edit(
                     job_key(name),
                     jobs.cancel_dependent(),
-                    rank=LATER,
-                    fence=ctx.view.token,
+                    priority=LOW_PRIORITY,
+                    fencing_token=ctx.view.token,
                     tag="orphan",
                 )
             )
@@ -309,9 +309,11 @@
     def _clear_prerequisites(self, name: JobId, job: JobRecord) -> None:
         """Record that all that the job needs is done, in the transaction of its first edit."""
         ctx = self.ctx
-        if job.needs:
+        if job.open_prerequisites:
             change = jobs.clear_prerequisites(ctx.view.since(name, job))
-            ctx.queue.propose(Edit(job_key(name), change, fence=ctx.view.token, tag="release"))
+            ctx.queue.propose(
+                Edit(job_key(name), change, fencing_token=ctx.view.token, tag="release")
+            )
 
     def _count_tasks_by_zone(self, job: JobRecord) -> dict[str, int]:
         counts: dict[str, int] = {}
@@ -325,7 +327,7 @@
         """Place a job's waiting tasks one by one while machines, limit and record allow."""
         spec = queued.job.spec
         in_flight = self.in_flight.get(queued.name, set())
-        if in_flight and (spec.apart or spec.together):
+        if in_flight and (spec.spread_zones or spec.same_zone):
             return  # the zones of tasks in flight are not certain yet
         if self._should_wait_for_type(spec):
             self.waiting_reasons[queued.name] = self._explain_no_capacity(queued.job)
@@ -351,7 +353,7 @@
         max_tasks = self._get_max_tasks(job, in_flight, has_failed, len(machines))
         search: PlacementSearch | None = None
         placements: list[TaskPlacement] = []
-        for number in job.waiting(max_tasks):
+        for number in job.waiting_indices(max_tasks):
             if number in in_flight:
                 continue
             if not quota.fits_limit(spec, 1):
@@ -395,7 +397,7 @@
         waited for over `RESERVATION_S` holds no others back during pauses.
         """
         job = queued.job
-        if not (has_failed or job.spec.apart or job.spec.together):
+        if not (has_failed or job.spec.spread_zones or job.spec.same_zone):
             self.failed_searches.add(job.spec)
         if queued.age_s <= RESERVATION_S or not self._is_reservation_pause():
             self.jobs_without_capacity.add(queued.name)
@@ -437,7 +439,7 @@
         no other type.
         """
         preferred = (
-            self.ctx.price_index().find_preferred_type(spec) if spec.shape == "standing" else None
+            self.ctx.price_index().find_preferred_type(spec) if spec.kind == "standing" else None
         )
         if preferred is None or preferred in self.available_types:
             return False
@@ -461,7 +463,12 @@
                 why or "done",
             )  # fmt: skip
 
-        edit = Edit(job_key(name), jobs.assign(assignments), fence=ctx.view.token, done=on_settled)
+        edit = Edit(
+            job_key(name),
+            jobs.assign(assignments),
+            fencing_token=ctx.view.token,
+            on_settled=on_settled,
+        )
         ctx.queue.propose(edit)
 
     def _serve_gang(
@@ -475,12 +482,12 @@
             return
         if self.ctx.queue.busy(job_key(name)):
             return
-        if not quota.fits_limit(job.spec, job.spec.tasks):
+        if not quota.fits_limit(job.spec, job.spec.task_count):
             self.waiting_reasons[name] = quota.explain_refusal(job.spec)
             if self.reserves_quota(queued):
                 # Otherwise its team's small jobs, which fit what is left of the limit, would
                 # keep taking it.
-                quota.add_usage(job.spec, job.spec.tasks)
+                quota.add_usage(job.spec, job.spec.task_count)
             return
         plan = self._plan_gang(queued, candidates)
         if plan is None:
@@ -489,7 +496,7 @@
         for machine in plan:
             machine.reserve(job.spec)
             machine.is_unschedulable = True
-        quota.add_usage(job.spec, job.spec.tasks)
+        quota.add_usage(job.spec, job.spec.task_count)
         unreserved = [m for m in plan if m.owner != self.ctx.own_name and not m.reserved_for_gang]
         if unreserved:
             self.waiting_reasons[name] = "waiting for machines to be lent"
@@ -506,17 +513,22 @@
         Nothing is searched if a gang with the same needs and no more tasks has not fitted.
         """
         spec = queued.job.spec
-        constraints = (spec.zone, spec.spot, tuple(spec.builds or ()), spec.together)
-        key = (*constraints, spec.cpus, spec.gpus, spec.memory)
+        constraints = (
+            spec.zone,
+            spec.may_use_spot,
+            tuple(spec.machine_types or ()),
+            spec.same_zone,
+        )
+        key = (*constraints, spec.cpus, spec.gpus, spec.memory_gb)
         smallest_failed = self.smallest_failed_gangs.get(key, NO_FAILED_GANG_TASKS)
         plan = None
-        if spec.tasks < smallest_failed:
+        if spec.task_count < smallest_failed:
             machines = candidates.find_fitting(spec)
             plan = gangs.find_gang_placement(
                 spec, machines, self.ctx.price_index(), self._get_start_slack_s(queued)
             )
         if plan is None:
-            self.smallest_failed_gangs[key] = min(smallest_failed, spec.tasks)
+            self.smallest_failed_gangs[key] = min(smallest_failed, spec.task_count)
         return plan
 
     def _handle_gang_without_capacity(
@@ -525,7 +537,7 @@
         """Earmark machines for a gang that does not fit, or preempt for it, if that can help."""
         name, job = queued.name, queued.job
         self.waiting_reasons[name] = (
-            f"{self._explain_no_capacity(job)} ({job.spec.tasks} tasks at once)"
+            f"{self._explain_no_capacity(job)} ({job.spec.task_count} tasks at once)"
         )
         if self._may_earmark(queued, candidates):
             self.jobs_without_capacity.add(name)
@@ -536,7 +548,7 @@
         if self.reserves_quota(queued):
             # Its machines may be booting. Otherwise an array could take what the team's limit
             # has just left free for the gang, which then waits again, for 7 minutes in all.
-            quota.add_usage(job.spec, job.spec.tasks)
+            quota.add_usage(job.spec, job.spec.task_count)
 
     def _propose_gang(self, name: JobId, job: JobRecord, plan: list[MachineCapacity]) -> None:
         """Write the places of all tasks of a gang in one edit."""
@@ -545,7 +557,7 @@
         places = sorted((m.owner, m.zone, m.id, m.session) for m in plan)
 
         def on_settled(ok: bool, why: str) -> None:
-            for number in range(job.spec.tasks):
+            for number in range(job.spec.task_count):
                 ctx.placements_in_flight.pop((name, number), None)
             log.info("gang %s on %s: %s", name, ",".join(m.id for m in plan), why or "placed")
 
@@ -555,9 +567,9 @@
         edit = Edit(
             job_key(name),
             jobs.place_gang(places),
-            fence=ctx.view.token,
+            fencing_token=ctx.view.token,
             tag="gang",
-            done=on_settled,
+            on_settled=on_settled,
         )
         if not ctx.queue.propose(edit):
             on_settled(False, "under way")
@@ -581,7 +593,7 @@
     def _may_get_machines(self, spec: Job) -> bool:
         """Return whether machines that the job may use are booting or could be rented."""
         catalog = self.ctx.view.catalog
-        types = [t for t in catalog.builds if fits_machine_type(spec, t)] if catalog else []
+        types = [t for t in catalog.machine_types if fits_machine_type(spec, t)] if catalog else []
         names = {t.name for t in types}
         offerings = {
             MachineOffering(t.name, zone, spot)
@@ -608,7 +620,7 @@
                 Edit(
                     job_key(name),
                     jobs.mark_stopping(None, attempt),
-                    fence=self.ctx.view.token,
+                    fencing_token=self.ctx.view.token,
                     tag=f"end{attempt}",
                 )
             )
--- a/coursefold/coordination/owner.py
+++ b/coursefold/coordination/owner.py
@@ -14,9 +14,9 @@
 from coursefold.coordination.owner_placement import OwnerPlacement
 from coursefold.coordination.response_monitor import ResponseMonitor
 from coursefold.coordination.transitions import ForwardTransition, TransitionProposer
-from coursefold.protocol.ids import parse_task
-from coursefold.protocol.wire import Order, Report
-from coursefold.storage.records import DEALT
+from coursefold.protocol.ids import parse_task_id
+from coursefold.protocol.wire import Command, Report
+from coursefold.storage.records import ASSIGNED
 
 log = logging.getLogger(__name__)
 
@@ -84,7 +84,7 @@
                 self._refuse(ticket)
             return
         machine = self._find_or_add_machine(report)
-        if machine is None or (report.session, report.counter) <= (
+        if machine is None or (report.session, report.sequence) <= (
             machine.session,
             machine.sequence,
         ):
@@ -113,7 +113,7 @@
             return self.lease_renewal.may_renew_released()
         return not self.ctx.is_active() and self.lease_renewal.may_renew()
 
-    def _respond(self, machine: Machine, ticket: int, commands: list[Order]) -> None:
+    def _respond(self, machine: Machine, ticket: int, commands: list[Command]) -> None:
         """Respond to a report under the machine's fencing token, which renews the lease."""
         ctx = self.ctx
         machine.last_response_at = ctx.now
@@ -128,11 +128,11 @@
         ctx = self.ctx
         machine = ctx.machines.get(report.machine)
         if machine is None:
-            if (report.session, report.counter) <= self.departed_sequences.get(
+            if (report.session, report.sequence) <= self.departed_sequences.get(
                 report.machine, (-1, -1)
             ):
                 return None
-            machine = Machine(report.machine, report.build, report.zone, report.spot)
+            machine = Machine(report.machine, report.machine_type, report.zone, report.spot)
             machine.idle_since = ctx.now
             ctx.machines[report.machine] = machine
             log.info(
@@ -156,7 +156,7 @@
         """Renew a lease and send no commands other than stops of cancelled tasks."""
         ctx = self.ctx
         machine = self._find_or_add_machine(report)
-        if machine is None or (report.session, report.counter) <= (
+        if machine is None or (report.session, report.sequence) <= (
             machine.session,
             machine.sequence,
         ):
@@ -165,10 +165,10 @@
         self._apply_report(machine, report)
         commands = []
         for task_report in report.tasks:
-            task = parse_task(task_report.task)
+            task = parse_task_id(task_report.task)
             is_cancelled = task is not None and cancellations.is_cancelled_or_expired(ctx, task.job)
             if is_cancelled and task_report.state != "exited":
-                commands.append(Order("stop", task_report.task, task_report.attempt, 0.0))
+                commands.append(Command("stop", task_report.task, task_report.attempt, 0.0))
         self._respond(machine, ticket, commands)
 
     def _apply_report(self, machine: Machine, report: Report) -> None:
@@ -180,17 +180,21 @@
             machine.cached_images.clear() if machine.session == 0 else None
         machine.session, machine.sequence, machine.token = (
             report.session,
-            report.counter,
+            report.sequence,
             report.token,
         )
-        machine.last_report_at, machine.address, machine.lease_expired = ctx.now, report.addr, False
-        if report.recall is not None and machine.recall_at is None:
-            log.info("machine %s will be taken in %.1f s", machine.id, report.recall)
+        machine.last_report_at, machine.address, machine.lease_expired = (
+            ctx.now,
+            report.address,
+            False,
+        )
+        if report.recall_in_s is not None and machine.recall_at is None:
+            log.info("machine %s will be taken in %.1f s", machine.id, report.recall_in_s)
             ctx.notify_peers = True
-        machine.recall_at = None if report.recall is None else ctx.now + report.recall
+        machine.recall_at = None if report.recall_in_s is None else ctx.now + report.recall_in_s
         machine.tasks = {}
         for task_report in report.tasks:
-            task = parse_task(task_report.task)
+            task = parse_task_id(task_report.task)
             if task is None:
                 log.error(
                     "machine %s reports an invalid task name %r", machine.id, task_report.task
@@ -289,5 +293,5 @@
         if machine.token != ctx.machine_token(machine.id):
             return
         for job_id, entry in ctx.view.on_machine(machine.id):
-            if entry.stage != DEALT:
+            if entry.stage != ASSIGNED:
                 self.command_planner.propose_gone(job_id, entry, machine)
--- a/coursefold/coordination/placement.py
+++ b/coursefold/coordination/placement.py
@@ -91,7 +91,7 @@
         self.owner, self.session = owner, session
         self.cpus = type_info.cpus - load.cpus
         self.gpus = type_info.gpus - load.gpus
-        self.memory_gb = type_info.memory - load.memory
+        self.memory_gb = type_info.memory_gb - load.memory
         self.cached_images = cached_images
         self.task_images_gb = load.images  # shared with the load; copied on the first change
         self.task_count = len(load.specs)
@@ -107,7 +107,7 @@
         return (
             spec.cpus <= self.cpus + RESOURCE_TOLERANCE
             and spec.gpus <= self.gpus + RESOURCE_TOLERANCE
-            and spec.memory <= self.memory_gb + RESOURCE_TOLERANCE
+            and spec.memory_gb <= self.memory_gb + RESOURCE_TOLERANCE
         )
 
     def count_tasks_beside_replicas(self, spec: Job) -> int:
@@ -119,7 +119,7 @@
         amounts = (
             (type_info.cpus - cpus, spec.cpus),
             (type_info.gpus - gpus, spec.gpus),
-            (type_info.memory - memory_gb, spec.memory),
+            (type_info.memory_gb - memory_gb, spec.memory_gb),
         )
         return int(
             min(
@@ -132,7 +132,7 @@
         """Subtract what a task of the job needs."""
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
-        self.memory_gb -= spec.memory
+        self.memory_gb -= spec.memory_gb
         self.task_count += 1
         if spec.image not in self.cached_images:
             self.task_images_gb = {**self.task_images_gb, spec.image: spec.image_gb}
@@ -141,7 +141,7 @@
         """Add what a task of the job had reserved; its image stays listed."""
         self.cpus += spec.cpus
         self.gpus += spec.gpus
-        self.memory_gb += spec.memory
+        self.memory_gb += spec.memory_gb
         self.task_count -= 1
 
     @property
@@ -151,21 +151,21 @@
         share = self.cpus / type_info.cpus if type_info.cpus else 0.0
         if type_info.gpus and self.gpus / type_info.gpus > share:
             share = self.gpus / type_info.gpus
-        if type_info.memory and self.memory_gb / type_info.memory > share:
-            share = self.memory_gb / type_info.memory
+        if type_info.memory_gb and self.memory_gb / type_info.memory_gb > share:
+            share = self.memory_gb / type_info.memory_gb
         return share
 
 
 def fits_machine_type(spec: Job, type_info: MachineType) -> bool:
     """Return whether the job allows this type and an empty machine of it fits one task."""
-    if spec.builds is not None and type_info.name not in spec.builds:
+    if spec.machine_types is not None and type_info.name not in spec.machine_types:
         return False
     if spec.zone is not None and spec.zone not in type_info.zones:
         return False
     return (
         spec.cpus <= type_info.cpus + RESOURCE_TOLERANCE
         and spec.gpus <= type_info.gpus + RESOURCE_TOLERANCE
-        and spec.memory <= type_info.memory + RESOURCE_TOLERANCE
+        and spec.memory_gb <= type_info.memory_gb + RESOURCE_TOLERANCE
     )
 
 
@@ -175,9 +175,9 @@
     Workers do not check it.
     """
     return (
-        (spec.builds is None or machine.type_info.name in spec.builds)
+        (spec.machine_types is None or machine.type_info.name in spec.machine_types)
         and (spec.zone is None or spec.zone == machine.zone)
-        and (spec.spot or not machine.spot)
+        and (spec.may_use_spot or not machine.spot)
     )
 
 
@@ -186,7 +186,7 @@
     largest = max(
         spec.cpus / type_info.cpus if type_info.cpus else 0.0,
         spec.gpus / type_info.gpus if type_info.gpus else 0.0,
-        spec.memory / type_info.memory if type_info.memory else 0.0,
+        spec.memory_gb / type_info.memory_gb if type_info.memory_gb else 0.0,
         1e-3,
     )
     return 1.0 / max(1, int(1.0 / largest + RESOURCE_TOLERANCE))
@@ -196,10 +196,10 @@
     """Return how many tasks of a job fit into what is free, after one task of `beside`."""
     cpus, gpus, memory_gb = machine.cpus, machine.gpus, machine.memory_gb
     if beside is not None:
-        cpus, gpus, memory_gb = cpus - beside.cpus, gpus - beside.gpus, memory_gb - beside.memory
+        cpus, gpus, memory_gb = cpus - beside.cpus, gpus - beside.gpus, memory_gb - beside.memory_gb
     ratios = [
         free / needed
-        for free, needed in ((cpus, spec.cpus), (gpus, spec.gpus), (memory_gb, spec.memory))
+        for free, needed in ((cpus, spec.cpus), (gpus, spec.gpus), (memory_gb, spec.memory_gb))
         if needed
     ]
     return max(0, int(min(ratios, default=0.0) + RESOURCE_TOLERANCE))
@@ -232,24 +232,24 @@
         type_infos = list(type_infos)
         for spec in specs:
             prices = {
-                t.name: t.price * compute_machine_share(spec, t)
+                t.name: t.price_per_hour * compute_machine_share(spec, t)
                 for t in type_infos
                 if fits_machine_type(spec, t)
             }
             if not prices:
                 continue
-            cheapest = self.cheapest_types[spec.lane] = min(prices, key=prices.__getitem__)
-            if not spec.spot:
+            cheapest = self.cheapest_types[spec.job_class] = min(prices, key=prices.__getitem__)
+            if not spec.may_use_spot:
                 self.needed_ordinary_types.add(cheapest)
             others = [price for name, price in prices.items() if name != cheapest]
             if others:
                 type_info = next(t for t in type_infos if t.name == cheapest)
                 saving = (min(others) - prices[cheapest]) / compute_machine_share(spec, type_info)
-                self.savings.setdefault(cheapest, {})[spec.lane] = saving
+                self.savings.setdefault(cheapest, {})[spec.job_class] = saving
 
     def find_preferred_type(self, spec: Job) -> str | None:
         """Return the class's cheapest type if other types are preferred by other classes."""
-        cheapest = self.cheapest_types.get(spec.lane)
+        cheapest = self.cheapest_types.get(spec.job_class)
         return cheapest if any(name != cheapest for name in self.savings) else None
 
     def blocks_accelerators(self, spec: Job, machine: MachineCapacity) -> bool:
@@ -263,7 +263,7 @@
         free = (round(machine.cpus, 3), round(machine.gpus, 3), round(machine.memory_gb, 3))
         key = (
             spec.cpus,
-            spec.memory,
+            spec.memory_gb,
             machine.type_info.name,
             machine.spot,
             machine.zone,
@@ -284,7 +284,7 @@
         if not savings:
             return 0.0
         largest = max(
-            (s for job_class, s in savings.items() if job_class != spec.lane), default=0.0
+            (s for job_class, s in savings.items() if job_class != spec.job_class), default=0.0
         )
         return compute_machine_share(spec, type_info) * largest
 
@@ -298,14 +298,14 @@
     Images that are fetched at the same time share the rate. The delay that this fetch adds
     to the others is counted too, since they belong to tasks that wait.
     """
-    if spec.image in machine.cached_images or not machine.type_info.fetch:
+    if spec.image in machine.cached_images or not machine.type_info.fetch_gb_per_s:
         return 0.0
     others_gb = 0.0
     for image, size_gb in machine.task_images_gb.items():
         if image != spec.image and image not in machine.cached_images:
             others_gb += size_gb
     added_gb = spec.image_gb if others_gb else 0.0
-    return (spec.image_gb + others_gb + added_gb) / machine.type_info.fetch
+    return (spec.image_gb + others_gb + added_gb) / machine.type_info.fetch_gb_per_s
 
 
 class PlacementCost:
@@ -330,22 +330,24 @@
         self, spec: Job, price_index: PriceIndex = EMPTY_PRICE_INDEX, slack_s: float = inf
     ) -> None:
         self.spec, self.price_index, self.slack_s = spec, price_index, slack_s
-        self.empty_penalty_s = EMPTY_MACHINE_PENALTY_S if spec.shape == "standing" else 0.0
+        self.empty_penalty_s = EMPTY_MACHINE_PENALTY_S if spec.kind == "standing" else 0.0
         self.base_costs: dict[tuple[str, bool], float] = {}
 
     def _compute_base_cost(self, type_info: MachineType, spot: bool) -> float:
         spec, price_index = self.spec, self.price_index
         machine_share = compute_machine_share(spec, type_info)
         ordinary_penalty_s = 0.0
-        if spec.spot and not spot:
+        if spec.may_use_spot and not spot:
             ordinary_penalty_s = (
                 NEEDED_ORDINARY_PENALTY_S
                 if type_info.name in price_index.needed_ordinary_types
                 else OTHER_ORDINARY_PENALTY_S
             )
-        hourly_price = (type_info.spot_price if spot else type_info.price) * machine_share
+        hourly_price = (
+            type_info.spot_price_per_hour if spot else type_info.price_per_hour
+        ) * machine_share
         hourly_price += price_index.estimate_displacement_cost(spec, type_info)
-        large_machine_penalty_s = 40.0 * (1.0 - machine_share) if spec.shape == "standing" else 0.0
+        large_machine_penalty_s = 40.0 * (1.0 - machine_share) if spec.kind == "standing" else 0.0
         return ordinary_penalty_s + 5.0 * hourly_price + large_machine_penalty_s
 
     def __call__(self, machine: MachineCapacity) -> tuple[float, float, str]:
@@ -385,7 +387,7 @@
 
 def get_zone_limit(spec: Job) -> int | None:
     """Return how many tasks of a job with `Apart` one zone may have; None without it."""
-    return (spec.tasks + 1) // 2 if spec.apart else None
+    return (spec.task_count + 1) // 2 if spec.spread_zones else None
 
 
 class PlacementSearch:
@@ -419,11 +421,11 @@
         self.spec, self.compute_cost = spec, PlacementCost(spec, price_index, slack_s)
         self.tasks_by_zone = tasks_by_zone if tasks_by_zone is not None else {}
         self.zone_limit = get_zone_limit(spec)
-        machine_types, allowed_zone, spot = spec.builds, spec.zone or zone, spec.spot
+        machine_types, allowed_zone, spot = spec.machine_types, spec.zone or zone, spec.may_use_spot
         cpus, gpus, memory_gb = (
             spec.cpus - RESOURCE_TOLERANCE,
             spec.gpus - RESOURCE_TOLERANCE,
-            spec.memory - RESOURCE_TOLERANCE,
+            spec.memory_gb - RESOURCE_TOLERANCE,
         )
         self.heap = [
             ((machine.id in avoid, *self.compute_cost(machine)), machine)
@@ -448,7 +450,7 @@
         tasks_by_zone, spec = self.tasks_by_zone, self.spec
         while self.heap:
             machine = self.heap[0][1]
-            if (tasks_by_zone and spec.together and machine.zone not in tasks_by_zone) or (
+            if (tasks_by_zone and spec.same_zone and machine.zone not in tasks_by_zone) or (
                 self.zone_limit is not None
                 and tasks_by_zone.get(machine.zone, 0) >= self.zone_limit
             ):
@@ -497,16 +499,21 @@
 
     @staticmethod
     def _make_key(spec: Job, zone: str) -> tuple[object, ...]:
-        return (tuple(spec.builds) if spec.builds is not None else None, spec.zone, spec.spot, zone)
+        return (
+            tuple(spec.machine_types) if spec.machine_types is not None else None,
+            spec.zone,
+            spec.may_use_spot,
+            zone,
+        )
 
     def add(self, spec: Job, zone: str = "") -> None:
         """Record that no machine fits a task of the job, in one zone or in all (empty)."""
         requests = self.requests.setdefault(self._make_key(spec, zone), [])
-        requests.append((spec.cpus, spec.gpus, spec.memory))
+        requests.append((spec.cpus, spec.gpus, spec.memory_gb))
 
     def covers(self, spec: Job, zone: str = "") -> bool:
         """Return whether a request no larger than this one has found no machine."""
         return any(
-            cpus <= spec.cpus and gpus <= spec.gpus and memory_gb <= spec.memory
+            cpus <= spec.cpus and gpus <= spec.gpus and memory_gb <= spec.memory_gb
             for cpus, gpus, memory_gb in self.requests.get(self._make_key(spec, zone), ())
         )
--- a/coursefold/coordination/rentals.py
+++ b/coursefold/coordination/rentals.py
@@ -20,10 +20,10 @@
 from coursefold.coordination.demand import PoolId
 from coursefold.coordination.inventory import Inventory
 from coursefold.coordination.placement import MachineOffering
-from coursefold.protocol.wire import Boxes, decode
+from coursefold.protocol.wire import MachineNames, decode
 from coursefold.storage import codec
-from coursefold.storage.edits import Edit, NotApplicableError, Result
-from coursefold.storage.records import Hire, PoolRecord, pool_key
+from coursefold.storage.edits import Edit, EditResult, NotApplicableError
+from coursefold.storage.records import PoolRecord, Rental, pool_key
 
 log = logging.getLogger(__name__)
 
@@ -91,7 +91,7 @@
             log.info(
                 "requesting %d machines of pool %s in zone %s (%s)", request_count, pool, zone, name
             )
-            self._write(pool, name, Hire(name, zone, pool.spot, request_count, ctx.wall_time))
+            self._write(pool, name, Rental(name, zone, pool.spot, request_count, ctx.wall_time))
 
     def send_pending(self, lists_read: int) -> None:
         """Send recorded requests that have no recorded response.
@@ -102,15 +102,15 @@
         ctx = self.ctx
         for key, record in list(ctx.view.pools.items()):
             pool = parse_pool_key(key)
-            for rental in record.hires:
+            for rental in record.rentals:
                 if rental.machines is None:
                     self._send(pool, rental)
                 else:
                     self._use_recorded(pool, rental, rental.machines, lists_read)
         self.in_flight &= self.cloud.rentals_in_flight()
-        self.answered &= {r.name for record in ctx.view.pools.values() for r in record.hires}
+        self.answered &= {r.name for record in ctx.view.pools.values() for r in record.rentals}
 
-    def _send(self, pool: PoolId, rental: Hire) -> None:
+    def _send(self, pool: PoolId, rental: Rental) -> None:
         if rental.name in self.in_flight or rental.name in self.answered:
             return
         body = {
@@ -124,10 +124,10 @@
             self.in_flight.add(rental.name)
 
     def _use_recorded(
-        self, pool: PoolId, rental: Hire, machines: list[str], lists_read: int
+        self, pool: PoolId, rental: Rental, machines: list[str], lists_read: int
     ) -> None:
         """Add machines of a recorded response, which the lists read so far may lack."""
-        age_s = self.ctx.wall_time - rental.at
+        age_s = self.ctx.wall_time - rental.requested_at
         if lists_read < LISTS_BEFORE_TRUST and age_s < RESPONSE_RETENTION_S:
             for name in machines:
                 self.inventory.add(name, pool, rental.zone, self.ctx.now - age_s)
@@ -142,7 +142,7 @@
         if status == 200 or refused:
             self.answered.add(rental.name)  # not sent again while the response is being written
         if status == 200:
-            self._add_machines(pool, rental, decode(body, Boxes).machines)
+            self._add_machines(pool, rental, decode(body, MachineNames).machines)
         elif refused:
             log.info(
                 "rental request %s: refused with status %d in %s %s",
@@ -151,7 +151,7 @@
             self._block(MachineOffering(pool.machine_type, rental.zone, pool.spot))
             self._write(pool, rental.name, None)
 
-    def _add_machines(self, pool: PoolId, rental: Hire, machines: list[str]) -> None:
+    def _add_machines(self, pool: PoolId, rental: Rental, machines: list[str]) -> None:
         for name in machines:
             self.inventory.add(name, pool, rental.zone, self.ctx.now)
         log.info(
@@ -172,25 +172,29 @@
         pause_s = REFUSED_PAUSE_S * min(MAX_REFUSED_PAUSES, 1 + refusals)
         self.blocked_until[offering] = self.ctx.now + pause_s
 
-    def _write(self, pool: PoolId, name: str, rental: Hire | None) -> None:
+    def _write(self, pool: PoolId, name: str, rental: Rental | None) -> None:
         """Write the new state of a request into its pool's record; None removes the request."""
         queue = self.ctx.queue
 
-        def change(current: Struct | None) -> Result:
+        def change(current: Struct | None) -> EditResult:
             max_parts = queue.most_parts() if self.ctx.view.level else 1
-            max_bytes = queue.limits.value * max_parts - RECORD_RESERVE_BYTES
+            max_bytes = queue.limits.value_bytes * max_parts - RECORD_RESERVE_BYTES
             record = current if isinstance(current, PoolRecord) else PoolRecord()
-            rentals = [r for r in record.hires if r.name != name]
+            rentals = [r for r in record.rentals if r.name != name]
             if rental is not None:
                 rentals.append(rental)
-            elif len(rentals) == len(record.hires):
+            elif len(rentals) == len(record.rentals):
                 raise NotApplicableError("not there")
             # Responses are kept because the next leader may need machines that the cloud's
             # list, which lags, does not show yet. With hundreds of machines the record gets
             # too large, and the oldest responses are dropped.
             answered = [r for r in rentals if r.machines is not None]
-            while answered and codec.size(codec.dump(PoolRecord(hires=rentals))) > max_bytes:
+            while (
+                answered
+                and codec.json_size_bytes(codec.encode_record(PoolRecord(rentals=rentals)))
+                > max_bytes
+            ):
                 rentals.remove(answered.pop(0))
-            return msgspec.structs.replace(record, hires=rentals)
+            return msgspec.structs.replace(record, rentals=rentals)
 
-        queue.propose(Edit(pool_key(str(pool)), change, fence=self.ctx.view.token))
+        queue.propose(Edit(pool_key(str(pool)), change, fencing_token=self.ctx.view.token))
--- a/coursefold/coordination/waiting.py
+++ b/coursefold/coordination/waiting.py
@@ -56,10 +56,10 @@
     before an older gang of three.
     """
     gangs = sorted(
-        (w for w in found if w.job.spec.shape == "ensemble"), key=lambda w: w.sort_key, reverse=True
+        (w for w in found if w.job.spec.kind == "ensemble"), key=lambda w: w.sort_key, reverse=True
     )
     others = sorted(
-        (w for w in found if w.job.spec.shape != "ensemble"), key=lambda w: w.sort_key, reverse=True
+        (w for w in found if w.job.spec.kind != "ensemble"), key=lambda w: w.sort_key, reverse=True
     )
     queue: list[QueuedJob] = []
     while gangs and others:
@@ -94,7 +94,7 @@
             if ctx.grants.has_job_grant_expired(job, ctx.now, ctx.wall_time):
                 reasons[name] = "its home cell's grant has ended"
                 continue
-            tasks = job.spec.tasks if job.spec.shape != "array" else 1
+            tasks = job.spec.task_count if job.spec.kind != "array" else 1
             is_within_guarantee = quota.is_within_guarantee(job.spec, tasks)
             run_s = self.mean_run_s(job.spec)
             since = ctx.view.since(name, job)
@@ -120,7 +120,7 @@
         gangs = [
             (self.ctx.view.since(name, job), name)
             for name, job in self.ctx.view.waiting.items()
-            if job.spec.shape == "ensemble" and job.retry_at <= self.ctx.wall_time
+            if job.spec.kind == "ensemble" and job.retry_at <= self.ctx.wall_time
         ]
         since, name = min(gangs, default=(self.ctx.wall_time, None))
         return name if self.ctx.wall_time - since > LONG_WAIT_S else None
@@ -141,8 +141,8 @@
             return False
         replica_usage = [0.0, 0.0]
         for job in self.ctx.view.jobs.values():
-            if job.spec.team == spec.team and job.spec.shape == "standing":
+            if job.spec.team == spec.team and job.spec.kind == "standing":
                 replica_usage[0] += job.spec.cpus * len(job.entries)
                 replica_usage[1] += job.spec.gpus * len(job.entries)
         team = next((t for t in self.ctx.settings.params.teams if t.name == spec.team), None)
-        return fits_team_limit(team, spec, spec.tasks, replica_usage)
+        return fits_team_limit(team, spec, spec.task_count, replica_usage)
