--- a/coursefold/coordination/jobs.py
+++ b/coursefold/coordination/jobs.py
@@ -167,12 +167,14 @@
     def change(record: Struct | None) -> EditResult:
         job = _require_live_job(record)
         placed = [e for e in job.entries if e.stage != ASSIGNED]
-        away = job.delegation
-        if away is not None and away.stage == DelegationStage.OFFERED:
+        delegation = job.delegation
+        if delegation is not None and delegation.stage == DelegationStage.OFFERED:
             # The other cell may not start the job without a grant, and none will be given.
-            away = msgspec.structs.replace(away, stage=DelegationStage.HOME)
+            delegation = msgspec.structs.replace(delegation, stage=DelegationStage.HOME)
         return end_if_complete(
-            msgspec.structs.replace(job, status=records.CANCELLED, entries=placed, delegation=away)
+            msgspec.structs.replace(
+                job, status=records.CANCELLED, entries=placed, delegation=delegation
+            )
         )
 
     return change
@@ -352,9 +354,11 @@
                 return Ending(records.DONE, job.spec.task_count)
             all_tasks = [(0, job.spec.task_count - 1)]
             return end_if_complete(msgspec.structs.replace(job, entries=[], done_ranges=all_tasks))
-        done = records.add_to_ranges(job.done_ranges, index)
+        done_ranges = records.add_to_ranges(job.done_ranges, index)
         return end_if_complete(
-            msgspec.structs.replace(job, entries=remaining, done_ranges=done, failure_count=0)
+            msgspec.structs.replace(
+                job, entries=remaining, done_ranges=done_ranges, failure_count=0
+            )
         )
 
     return change
@@ -376,13 +380,13 @@
 
     def change(record: Struct | None) -> EditResult:
         job = _require_job(record)
-        errors = job.failure_count + 1
-        retry_delay_s = min(60.0, 0.5 * 2 ** min(errors - 1, 7))
+        failure_count = job.failure_count + 1
+        retry_delay_s = min(60.0, 0.5 * 2 ** min(failure_count - 1, 7))
         return end_if_complete(
             msgspec.structs.replace(
                 job,
                 entries=_entries_without(job, index, machine, attempt),
-                failure_count=errors,
+                failure_count=failure_count,
                 retry_at=failed_at + retry_delay_s,
                 # The next attempt runs elsewhere, to tell a faulty machine from a faulty job.
                 failed_on=[*(m for m in job.failed_on if m != machine), machine][-4:],
--- a/coursefold/coordination/owner_placement.py
+++ b/coursefold/coordination/owner_placement.py
@@ -82,7 +82,7 @@
             since = self.unplaced_since.setdefault((name, entry.index), ctx.now)
             if ctx.now - since > MAX_SEARCH_S:
                 self.transitions.propose(
-                    name, "undeal", entry, f"undeal{entry.index}", rank=LOW_PRIORITY
+                    name, "undeal", entry, f"undeal{entry.index}", priority=LOW_PRIORITY
                 )
         for name, tasks in found.items():
             self.propose_placement(name, ctx.view.jobs[name], tasks)
--- a/coursefold/coordination/requests.py
+++ b/coursefold/coordination/requests.py
@@ -418,9 +418,9 @@
                 else ""
             )
             return f"waiting for {', '.join(islice(unfinished, MAX_NAMED_JOBS))}{more} to be done"
-        away = self.view.away.get(JobId(name))
-        if away is not None and away.delegation is not None:
-            return describe_remote_placement(away.delegation, ctx.wall_time)
+        delegated_job = self.view.away.get(JobId(name))
+        if delegated_job is not None and delegated_job.delegation is not None:
+            return describe_remote_placement(delegated_job.delegation, ctx.wall_time)
         reason = self._leader_reason(name)
         job = self.view.jobs.get(JobId(name))
         if reason and job is not None and job.delegation is not None:
--- a/coursefold/coordination/transitions.py
+++ b/coursefold/coordination/transitions.py
@@ -19,7 +19,7 @@
 
     def propose(
         self, job_id: JobId, kind: str, entry: TaskEntry, tag: str, *, machine: str = "",
-        rank: int = NORMAL_PRIORITY,
+        priority: int = NORMAL_PRIORITY,
     ) -> bool:  # fmt: skip
         """Propose a transition of one task.
 
@@ -29,7 +29,7 @@
             entry: The task's entry in the job's record.
             tag: Within the job, the same for repetitions of the same transition.
             machine: The task's machine, for kinds that need it.
-            rank: The edit's rank in the commit queue.
+            priority: The edit's priority in the commit queue.
 
         Returns:
             False if a transition with the same tag is under way already.
@@ -39,7 +39,7 @@
             job_id,
             jobs.TaskTransition(kind, (task,), self.ctx.own_name, self.ctx.wall_time),
             tag,
-            rank,
+            priority,
         )
 
     def propose_transition(
@@ -47,8 +47,8 @@
         job_id: JobId,
         transition: jobs.TaskTransition,
         tag: str,
-        rank: int = NORMAL_PRIORITY,
-        done: Callable[[bool, str], None] | None = None,
+        priority: int = NORMAL_PRIORITY,
+        on_settled: Callable[[bool, str], None] | None = None,
     ) -> bool:
         """Propose a transition.
 
@@ -57,8 +57,8 @@
             transition: The transition.
             tag: Within the job, the same for repetitions of the same transition; empty if
                 each one counts.
-            rank: The edit's rank in the commit queue.
-            done: Called with the outcome: whether the edit was committed, and if not, why.
+            priority: The edit's priority in the commit queue.
+            on_settled: Called with the outcome: whether the edit was committed, and if not, why.
 
         Returns:
             False if a transition with the same tag is under way already.
@@ -66,9 +66,9 @@
         edit = Edit(
             job_key(job_id),
             transition.to_change(),
-            priority=rank,
+            priority=priority,
             fencing_token=self.ctx.view.token,
             tag=tag,
-            on_settled=done,
+            on_settled=on_settled,
         )
         return self.forward(job_id, transition, edit)
