--- a/coursefold/coordination/jobs.py
+++ b/coursefold/coordination/jobs.py
@@ -6,29 +6,17 @@
 is removed only when the task is done or is known not to run on its machine any more.
 """
 
-
-
-import msgspec
 from collections.abc import Sequence
-from coursefold.protocol.wire import Job
-from coursefold.storage import records
-from coursefold.storage.cell_records import DelegationStage
-from coursefold.storage.cell_records import Guest
-from coursefold.storage.cell_records import GuestStage
-from coursefold.storage.edits import ArchiveEnding
-from coursefold.storage.edits import Change
-from coursefold.storage.edits import EditResult
-from coursefold.storage.edits import NotApplicableError
-from coursefold.storage.records import ASSIGNED
-from coursefold.storage.records import Ending
-from coursefold.storage.records import JobRecord
-from coursefold.storage.records import PLACED
-from coursefold.storage.records import STOPPING
-from coursefold.storage.records import TaskEntry
-from msgspec import Struct
 from typing import NamedTuple
 
+import msgspec
+from msgspec import Struct
 
+from coursefold.protocol.wire import Job
+from coursefold.storage import records
+from coursefold.storage.cell_records import DelegationStage, Guest, GuestStage
+from coursefold.storage.edits import ArchiveEnding, Change, EditResult, NotApplicableError
+from coursefold.storage.records import ASSIGNED, PLACED, STOPPING, Ending, JobRecord, TaskEntry
 
 
 def _require_job(record: Struct | None) -> JobRecord:
--- a/coursefold/coordination/owner_placement.py
+++ b/coursefold/coordination/owner_placement.py
@@ -1,25 +1,21 @@
 """An owner's choice of machines for the tasks that the leader has assigned to it."""
 
-
-
 import logging
 from collections.abc import Iterable
+
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
-from coursefold.coordination.placement import FailedSearches
-from coursefold.coordination.placement import MachineCapacity
-from coursefold.coordination.placement import PlacementSearch
-from coursefold.coordination.placement import RESOURCE_TOLERANCE
+from coursefold.coordination.placement import (
+    RESOURCE_TOLERANCE,
+    FailedSearches,
+    MachineCapacity,
+    PlacementSearch,
+)
 from coursefold.coordination.transitions import TransitionProposer
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
-from coursefold.storage.edits import LOW_PRIORITY
-from coursefold.storage.edits import NORMAL_PRIORITY
-from coursefold.storage.records import JobRecord
-from coursefold.storage.records import LIVE
-from coursefold.storage.records import TaskEntry
-
-
+from coursefold.storage.edits import LOW_PRIORITY, NORMAL_PRIORITY
+from coursefold.storage.records import LIVE, JobRecord, TaskEntry
 
 log = logging.getLogger(__name__)
 
--- a/coursefold/coordination/transitions.py
+++ b/coursefold/coordination/transitions.py
@@ -1,17 +1,12 @@
 """Proposes task transitions for an owner; the leader or the owner itself writes them."""
 
-
-
 from collections.abc import Callable
+
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
 from coursefold.protocol.ids import JobId
-from coursefold.storage.edits import Edit
-from coursefold.storage.edits import NORMAL_PRIORITY
-from coursefold.storage.records import TaskEntry
-from coursefold.storage.records import job_key
-
-
+from coursefold.storage.edits import NORMAL_PRIORITY, Edit
+from coursefold.storage.records import TaskEntry, job_key
 
 ForwardTransition = Callable[[JobId, jobs.TaskTransition, Edit], bool]
 
