--- a/coursefold/coordination/gangs.py
+++ b/coursefold/coordination/gangs.py
@@ -22,7 +22,7 @@
 ) -> list[MachineCapacity] | None:
     """Return one machine for each task (a machine may occur several times), or None.
 
-    Nothing is reserved. With `Together` each zone is tried, and the plan whose most expensive
+    Nothing is reserved. With `same_zone` each zone is tried, and the plan whose most expensive
     machine costs least wins: a gang starts with its last task and runs as fast as its slowest
     machine. `slack_s` is how long the start may take for the job's next objective.
     """
@@ -141,7 +141,7 @@
     def find_to_earmark(self, spec: Job) -> list[MachineCapacity]:
         """Return machines to keep free for a gang that does not fit yet.
 
-        They are the emptiest, of one zone with `Together`. The order is that of the first
+        They are the emptiest, of one zone with `same_zone`. The order is that of the first
         call in the round: tasks placed since change it little, and it only decides which
         machines less important work is kept off.
         """
--- a/coursefold/coordination/placement.py
+++ b/coursefold/coordination/placement.py
@@ -386,7 +386,7 @@
 
 
 def get_zone_limit(spec: Job) -> int | None:
-    """Return how many tasks of a job with `Apart` one zone may have; None without it."""
+    """Return how many tasks of a job with `spread_zones` one zone may have; None without it."""
     return (spec.task_count + 1) // 2 if spec.spread_zones else None
 
 
