--- a/coursefold/coordination/owner_placement.py
+++ b/coursefold/coordination/owner_placement.py
@@ -111,7 +111,7 @@
         )
 
     def propose_placement(self, name: JobId, job: JobRecord, tasks: list[jobs.TaskRef]) -> None:
-        """Write places for tasks of a job in one edit; `placements_in_flight` counts them until then."""
+        """Write places for tasks of a job in one edit; they count as in flight until then."""
         ctx = self.ctx
         for task in tasks:
             ctx.placements_in_flight[(name, task.number)] = (task.machine, job.spec)
