--- a/coursefold/coordination/jobs.py
+++ b/coursefold/coordination/jobs.py
@@ -93,24 +93,31 @@
     return change
 
 
-def accept(spec: Job, at: float, needs: Sequence[str] = (), cancelled: bool = False) -> Change:
+def accept(
+    spec: Job,
+    submitted_at: float,
+    open_prerequisites: Sequence[str] = (),
+    has_cancelled_prerequisite: bool = False,
+) -> Change:
     """Return an edit that stores a new job; it does not apply if the job is known already.
 
     Args:
         spec: The job's description.
-        at: Wall-clock time of the submission in seconds.
-        needs: The prerequisites that are not done yet.
-        cancelled: Whether a prerequisite was cancelled, so that the job can never start; it
-            is stored as cancelled then.
+        submitted_at: Wall-clock time of the submission in seconds.
+        open_prerequisites: The prerequisites that are not done yet.
+        has_cancelled_prerequisite: Whether a prerequisite was cancelled, so that the job can
+            never start; it is stored as cancelled then.
     """
 
     def change(record: Struct | None) -> EditResult:
         if record is not None:
             raise NotApplicableError("known")
-        if cancelled:
+        if has_cancelled_prerequisite:
             return Ending(records.CANCELLED, spec.task_count)
         return JobRecord(
-            msgspec.structs.replace(spec, prerequisites=None), at, open_prerequisites=list(needs)
+            msgspec.structs.replace(spec, prerequisites=None),
+            submitted_at,
+            open_prerequisites=list(open_prerequisites),
         )
 
     return change
@@ -160,12 +167,14 @@
     def change(record: Struct | None) -> EditResult:
         job = _require_live_job(record)
         placed = [e for e in job.entries if e.stage != ASSIGNED]
-        away = job.delegation
-        if away is not None and away.stage == DelegationStage.OFFERED:
+        delegation = job.delegation
+        if delegation is not None and delegation.stage == DelegationStage.OFFERED:
             # The other cell may not start the job without a grant, and none will be given.
-            away = msgspec.structs.replace(away, stage=DelegationStage.HOME)
+            delegation = msgspec.structs.replace(delegation, stage=DelegationStage.HOME)
         return end_if_complete(
-            msgspec.structs.replace(job, status=records.CANCELLED, entries=placed, delegation=away)
+            msgspec.structs.replace(
+                job, status=records.CANCELLED, entries=placed, delegation=delegation
+            )
         )
 
     return change
@@ -345,9 +354,11 @@
                 return Ending(records.DONE, job.spec.task_count)
             all_tasks = [(0, job.spec.task_count - 1)]
             return end_if_complete(msgspec.structs.replace(job, entries=[], done_ranges=all_tasks))
-        done = records.add_to_ranges(job.done_ranges, index)
+        done_ranges = records.add_to_ranges(job.done_ranges, index)
         return end_if_complete(
-            msgspec.structs.replace(job, entries=remaining, done_ranges=done, failure_count=0)
+            msgspec.structs.replace(
+                job, entries=remaining, done_ranges=done_ranges, failure_count=0
+            )
         )
 
     return change
@@ -369,13 +380,13 @@
 
     def change(record: Struct | None) -> EditResult:
         job = _require_job(record)
-        errors = job.failure_count + 1
-        retry_delay_s = min(60.0, 0.5 * 2 ** min(errors - 1, 7))
+        failure_count = job.failure_count + 1
+        retry_delay_s = min(60.0, 0.5 * 2 ** min(failure_count - 1, 7))
         return end_if_complete(
             msgspec.structs.replace(
                 job,
                 entries=_entries_without(job, index, machine, attempt),
-                failure_count=errors,
+                failure_count=failure_count,
                 retry_at=failed_at + retry_delay_s,
                 # The next attempt runs elsewhere, to tell a faulty machine from a faulty job.
                 failed_on=[*(m for m in job.failed_on if m != machine), machine][-4:],
