--- a/coursefold/coordination/cloud.py
+++ b/coursefold/coordination/cloud.py
@@ -76,7 +76,7 @@
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
         rate = ctx.settings.params.cloud.rps
-        self.budget = Budget(rate * RATE_SHARE, max(1.0, rate))
+        self.token_bucket = Budget(rate * RATE_SHARE, max(1.0, rate))
         self.pending_calls: dict[int, PendingCall] = {}
         self.last_call_id = 0
         self.paused_until = 0.0
@@ -91,7 +91,7 @@
         requests of the operation as are allowed at once are pending (one, except rentals).
         """
         ctx = self.ctx
-        if ctx.now < self.paused_until or self.budget.fill(ctx.now) < 1.0:
+        if ctx.now < self.paused_until or self.token_bucket.fill(ctx.now) < 1.0:
             return False
         max_in_flight = self.max_rentals_in_flight if operation is CloudOperation.RENT else 1
         if (
@@ -99,7 +99,7 @@
             >= max_in_flight
         ):
             return False
-        self.budget.take(ctx.now, 1.0)
+        self.token_bucket.take(ctx.now, 1.0)
         self.last_call_id += 1
         self.pending_calls[self.last_call_id] = PendingCall(operation, request)
         ctx.effects.append(CloudCall(self.last_call_id, operation, body))
