--- a/coursefold/coordination/commands.py
+++ b/coursefold/coordination/commands.py
@@ -13,8 +13,8 @@
 from coursefold.coordination.effects import SendCommands
 from coursefold.coordination.transitions import TransitionProposer
 from coursefold.protocol.ids import JobId
-from coursefold.protocol.wire import Order, Report, TaskReport
-from coursefold.storage.records import DEALT, LIVE, PLACED, STOPPING, Entry, JobRecord
+from coursefold.protocol.wire import Command, Report, TaskReport
+from coursefold.storage.records import ASSIGNED, LIVE, PLACED, STOPPING, JobRecord, TaskEntry
 
 log = logging.getLogger(__name__)
 
@@ -30,16 +30,16 @@
     def __init__(self, ctx: Context, transitions: TransitionProposer) -> None:
         self.ctx, self.transitions = ctx, transitions
 
-    def commands_for_report(self, machine: Machine, report: Report) -> list[Order]:
+    def commands_for_report(self, machine: Machine, report: Report) -> list[Command]:
         """Return the commands that bring a machine from what it reports to what is recorded."""
         ctx = self.ctx
-        forgets: list[Order] = []
-        stops: list[Order] = []
-        runs: list[Order] = []
+        forgets: list[Command] = []
+        stops: list[Command] = []
+        runs: list[Command] = []
         entries = {
             (job_id, entry.index): entry
             for job_id, entry in ctx.view.on_machine(machine.id)
-            if entry.stage != DEALT
+            if entry.stage != ASSIGNED
         }
         for (name, index), task_report in machine.tasks.items():
             task_key = (JobId(name), index)
@@ -49,17 +49,17 @@
                 if is_current and entry is not None and task_report.cause not in RETRIED_CAUSES:
                     self._record_exit(machine, JobId(task_key[0]), entry, task_report)
                 else:
-                    forgets.append(Order("forget", task_report.task, task_report.attempt))
+                    forgets.append(Command("forget", task_report.task, task_report.attempt))
                 continue
             if not is_current or entry is None:
-                stops.append(Order("stop", task_report.task, task_report.attempt, 0.0))
+                stops.append(Command("stop", task_report.task, task_report.attempt, 0.0))
                 continue
             job = ctx.view.jobs[JobId(task_key[0])]
             if cancellations.is_cancelled_or_expired(ctx, task_key[0]):
-                stops.append(Order("stop", task_report.task, task_report.attempt, 0.0))
+                stops.append(Command("stop", task_report.task, task_report.attempt, 0.0))
             elif entry.stage == STOPPING and task_report.state != "flushing":
                 stops.append(
-                    Order("stop", task_report.task, task_report.attempt, self._stop_grace_s(job))
+                    Command("stop", task_report.task, task_report.attempt, self._stop_grace_s(job))
                 )
             elif entry.stage == PLACED:
                 self._save_before_recall(machine, JobId(task_key[0]), job, entry)
@@ -69,10 +69,10 @@
 
     @staticmethod
     def _stop_grace_s(job: JobRecord) -> float:
-        return job.spec.save + 1.0 if job.spec.checkpoint > 0 else 0.0
+        return job.spec.checkpoint_save_s + 1.0 if job.spec.checkpoint_interval_s > 0 else 0.0
 
     def _handle_missing(
-        self, machine: Machine, report: Report, job_id: JobId, entry: Entry, runs: list[Order]
+        self, machine: Machine, report: Report, job_id: JobId, entry: TaskEntry, runs: list[Command]
     ) -> None:
         """Handle a recorded task that is not listed, or belongs to an older session."""
         ctx = self.ctx
@@ -93,7 +93,7 @@
         if job.status == LIVE and entry.stage == PLACED:
             if cancellations.is_cancelled_or_expired(ctx, job_id):
                 return  # the recorded cancellation decides what becomes of the task
-            runs.append(Order("run", f"{job_id}/{entry.index}", entry.attempt))
+            runs.append(Command("run", f"{job_id}/{entry.index}", entry.attempt))
             return
         # Proof that the task is gone. A worker has one report in flight, so this one, newer
         # than any that was responded to, shows the effect of this controller's own `run`.
@@ -102,24 +102,28 @@
         if report.token == ctx.machine_token(machine.id):
             self.propose_gone(job_id, entry, machine)
 
-    def propose_gone(self, job_id: JobId, entry: Entry, machine: Machine) -> None:
+    def propose_gone(self, job_id: JobId, entry: TaskEntry, machine: Machine) -> None:
         """Propose that a task is recorded as gone; only after proof that it does not run."""
         self.transitions.propose(job_id, "gone", entry, f"gone{entry.index}", machine=machine.id)
 
     def _save_before_recall(
-        self, machine: Machine, job_id: JobId, job: JobRecord, entry: Entry
+        self, machine: Machine, job_id: JobId, job: JobRecord, entry: TaskEntry
     ) -> None:
         """Stop a task in time to save its progress before the cloud takes its machine back."""
-        if machine.recall_at is None or job.spec.checkpoint <= 0:
+        if machine.recall_at is None or job.spec.checkpoint_interval_s <= 0:
             return
         remaining_s = machine.recall_at - self.ctx.now
         report_s = self.ctx.settings.params.workers.report_s
-        if job.spec.save < remaining_s < job.spec.save + 2.5 * report_s + 2.0:
-            kind = "stop_all" if job.spec.shape == "ensemble" else "stop"
+        if (
+            job.spec.checkpoint_save_s
+            < remaining_s
+            < job.spec.checkpoint_save_s + 2.5 * report_s + 2.0
+        ):
+            kind = "stop_all" if job.spec.kind == "ensemble" else "stop"
             self.transitions.propose(job_id, kind, entry, f"stop{entry.index}")
 
     def _record_exit(
-        self, machine: Machine, job_id: JobId, entry: Entry, task_report: TaskReport
+        self, machine: Machine, job_id: JobId, entry: TaskEntry, task_report: TaskReport
     ) -> None:
         """Propose to record an exit; `forget` is sent once it is recorded."""
         ctx = self.ctx
@@ -139,7 +143,7 @@
             kind = "gone"
         if self.transitions.propose(job_id, kind, entry, tag, machine=machine.id):
             if started_at is not None:
-                ctx.finished_runs.append((job.spec.lane, ctx.now - started_at))
+                ctx.finished_runs.append((job.spec.job_class, ctx.now - started_at))
             log.info(
                 "task %s/%d#%d on %s: %s", job_id, entry.index, entry.attempt, machine.id, cause
             )
@@ -189,7 +193,7 @@
             ):
                 machine.stops_sent.add(attempt_key)
                 grace_s = 0.0 if is_cancelled else self._stop_grace_s(job)
-                commands.append(Order("stop", f"{job_id}/{entry.index}", entry.attempt, grace_s))
+                commands.append(Command("stop", f"{job_id}/{entry.index}", entry.attempt, grace_s))
         if commands:
             token = ctx.machine_token(machine.id)
             ctx.effects.append(SendCommands(machine.address, token, machine.session, commands))
--- a/coursefold/coordination/ordering.py
+++ b/coursefold/coordination/ordering.py
@@ -13,7 +13,7 @@
 
 from typing import NamedTuple
 
-from coursefold.protocol.wire import RANKS, Job
+from coursefold.protocol.wire import PRIORITY_ORDER, Job
 from coursefold.settings import Objective
 
 LONG_WAIT_S = 180.0  # a large job has to start within 240 s, of which freeing machines takes 60
@@ -72,8 +72,8 @@
 
         In seconds from the moment when the job may start; `deadline_s` counts from there too.
         """
-        starts = list(self.start_limits_s.get(spec.lane, []))
-        starts += [within_s - run_s for within_s in self.finish_limits_s.get(spec.lane, [])]
+        starts = list(self.start_limits_s.get(spec.job_class, []))
+        starts += [within_s - run_s for within_s in self.finish_limits_s.get(spec.job_class, [])]
         if deadline_s is not None:
             starts.append(deadline_s - run_s)
         if is_within_guarantee:
@@ -107,17 +107,17 @@
                 seconds from the moment from which `age_s` counts; None without a deadline.
         """
         if priority is None:
-            priority = RANKS[spec.rank]
+            priority = PRIORITY_ORDER[spec.priority]
         group = 0 if priority == 0 else 1 if is_within_guarantee else 2
         if age_s > STARVATION_S:
             group = min(group, 1)
         starts = self.compute_latest_starts(spec, run_s, is_within_guarantee, deadline_s)
         slacks_s = [start_s - age_s for start_s in starts if start_s > age_s]
-        if is_longest_waiting_gang or (spec.shape == "ensemble" and age_s > STARVATION_S):
+        if is_longest_waiting_gang or (spec.kind == "ensemble" and age_s > STARVATION_S):
             return QueueKey(min(group, 1), priority, False, 0, 0.0, -age_s, name)
         is_late = bool(starts) and not slacks_s
-        size = spec.tasks if spec.shape == "ensemble" else 0
-        if spec.shape == "array" and age_s <= LONG_WAIT_S:
+        size = spec.task_count if spec.kind == "ensemble" else 0
+        if spec.kind == "array" and age_s <= LONG_WAIT_S:
             # All its tasks have to end in time: arrays with few tasks left go first.
             size = waiting_count
         return QueueKey(
--- a/coursefold/coordination/owner_placement.py
+++ b/coursefold/coordination/owner_placement.py
@@ -14,8 +14,8 @@
 from coursefold.coordination.transitions import TransitionProposer
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
-from coursefold.storage.edits import LATER, SOON
-from coursefold.storage.records import LIVE, Entry, JobRecord
+from coursefold.storage.edits import LOW_PRIORITY, NORMAL_PRIORITY
+from coursefold.storage.records import LIVE, JobRecord, TaskEntry
 
 log = logging.getLogger(__name__)
 
@@ -81,7 +81,9 @@
                 continue
             since = self.unplaced_since.setdefault((name, entry.index), ctx.now)
             if ctx.now - since > MAX_SEARCH_S:
-                self.transitions.propose(name, "undeal", entry, f"undeal{entry.index}", rank=LATER)
+                self.transitions.propose(
+                    name, "undeal", entry, f"undeal{entry.index}", rank=LOW_PRIORITY
+                )
         for name, tasks in found.items():
             self.propose_placement(name, ctx.view.jobs[name], tasks)
 
@@ -96,7 +98,9 @@
         return in_flight
 
     @staticmethod
-    def _fits_assigned(machine: MachineCapacity, entry: Entry, in_flight: Iterable[Job]) -> bool:
+    def _fits_assigned(
+        machine: MachineCapacity, entry: TaskEntry, in_flight: Iterable[Job]
+    ) -> bool:
         """Return whether an assigned task, already subtracted, fits beside tasks in flight."""
         for spec in in_flight:
             machine.reserve(spec)
@@ -122,4 +126,4 @@
                 log.debug("place %s on %s: %s", name, places, why)
 
         transition = jobs.TaskTransition("place", tuple(tasks), ctx.own_name)
-        self.transitions.propose_transition(name, transition, "", SOON, on_settled)
+        self.transitions.propose_transition(name, transition, "", NORMAL_PRIORITY, on_settled)
--- a/coursefold/coordination/pools.py
+++ b/coursefold/coordination/pools.py
@@ -108,7 +108,7 @@
         for key, record in self.ctx.view.pools.items():
             demand = planner.pools.get(parse_pool_key(key))
             if demand is not None:
-                demand.machine_count += sum(r.count for r in record.hires if r.machines is None)
+                demand.machine_count += sum(r.count for r in record.rentals if r.machines is None)
 
     def _count_arrivals(self, planner: DemandPlanner) -> None:
         """Count the arrivals of the window; a job arrives when it may start."""
@@ -124,7 +124,7 @@
             if ctx.wall_time - at > window_s:
                 del self.recent_arrivals[job_name]
             else:
-                planner.count_arrival(spec, min(spec.tasks, MAX_TASKS_PER_ARRIVAL))
+                planner.count_arrival(spec, min(spec.task_count, MAX_TASKS_PER_ARRIVAL))
 
     def _list_unplaced(self) -> list[UnplacedTasks]:
         """Return the waiting tasks in queue order, within their teams' limits."""
@@ -154,7 +154,7 @@
         if self.leader.reserves_quota(queued_job):
             return count
         while count > 0 and not quota.fits_limit(spec, count):
-            count = count - 1 if spec.shape == "array" else 0
+            count = count - 1 if spec.kind == "array" else 0
         return count
 
     def _count_running(self, planner: DemandPlanner) -> None:
--- a/coursefold/coordination/preemption.py
+++ b/coursefold/coordination/preemption.py
@@ -14,7 +14,7 @@
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 from coursefold.storage.edits import Edit
-from coursefold.storage.records import LIVE, PLACED, STOPPING, Entry, JobRecord, job_key
+from coursefold.storage.records import LIVE, PLACED, STOPPING, JobRecord, TaskEntry, job_key
 
 log = logging.getLogger(__name__)
 
@@ -46,7 +46,7 @@
 
     def get_delay_s(self, spec: Job) -> float:
         """Return how long a job waits for machines to become free before it stops others."""
-        return 0.0 if spec.shape == "standing" else 8.0
+        return 0.0 if spec.kind == "standing" else 8.0
 
     def may_stop(
         self,
@@ -76,7 +76,7 @@
             and age_s > GUARANTEE_DELAY_S
             and victim.spec.team != spec.team
             # The guarantee would allow it, but a replica's users notice every second.
-            and victim.spec.shape != "standing"
+            and victim.spec.kind != "standing"
             and not quota.is_within_guarantee(victim.spec, 0)
             and bool(quota.teams[victim.spec.team].gpus or quota.teams[victim.spec.team].cpus)
         )
@@ -103,7 +103,7 @@
         is_within_guarantee: bool,
         quota: QuotaTracker | None,
         age_s: float,
-    ) -> list[tuple[JobId, Entry]] | None:
+    ) -> list[tuple[JobId, TaskEntry]] | None:
         """Return the tasks to stop on a machine so that a task fits, the cheapest first.
 
         None if stopping does not suffice, if the task fits already, or if tasks there are
@@ -123,13 +123,17 @@
             for name, entry, job in placed
             if entry.stage == PLACED
             and job.status == LIVE
-            and (job.spec.shape != "ensemble" or job.spec.tasks == 1)
+            and (job.spec.kind != "ensemble" or job.spec.task_count == 1)
             and self.may_stop(spec, priority, is_within_guarantee, name, job, quota, age_s)
         ]
         candidates.sort(
-            key=lambda c: (c[2].spec.checkpoint <= 0, -self.get_priority(c[0], c[2]), -c[2].at)
+            key=lambda c: (
+                c[2].spec.checkpoint_interval_s <= 0,
+                -self.get_priority(c[0], c[2]),
+                -c[2].accepted_at,
+            )
         )
-        victims: list[tuple[JobId, Entry]] = []
+        victims: list[tuple[JobId, TaskEntry]] = []
         for name, entry, job in candidates:
             if machine.fits_task(spec):
                 break
@@ -153,7 +157,7 @@
         """Stop tasks on one machine, if that makes room for a task of the job."""
         if not self._start_search(name, job, index, age_s):
             return
-        best: list[tuple[JobId, Entry]] | None = None
+        best: list[tuple[JobId, TaskEntry]] | None = None
         lowest_cost_s = 0.0
         priority = self.get_priority(name, job)
         is_guaranteed = is_within_guarantee and quota is not None and age_s > GUARANTEE_DELAY_S
@@ -201,27 +205,29 @@
         ]
         if not any(self._get_lowest_priority(machine) > priority for machine in machines):
             return
-        zones = sorted({machine.zone for machine in machines}) if job.spec.together else [""]
+        zones = sorted({machine.zone for machine in machines}) if job.spec.same_zone else [""]
         for zone in zones:
-            chosen: list[tuple[JobId, Entry]] = []
+            chosen: list[tuple[JobId, TaskEntry]] = []
             place_count = 0
             for machine in sorted(machines, key=lambda candidate: -candidate.largest_free_share):
                 if zone and machine.zone != zone:
                     continue
                 if machine.fits_task(job.spec):
                     place_count += 1
-                elif place_count < job.spec.tasks:
+                elif place_count < job.spec.task_count:
                     victims = self.find_victims(
                         machine, job.spec, priority, is_within_guarantee, None, age_s
                     )
                     if victims is not None:
                         chosen.extend(victims)
                         place_count += 1
-            if place_count >= job.spec.tasks and chosen:
+            if place_count >= job.spec.task_count and chosen:
                 self._stop_victims(name, 0, chosen)
                 return
 
-    def _stop_victims(self, name: JobId, index: int, victims: list[tuple[JobId, Entry]]) -> None:
+    def _stop_victims(
+        self, name: JobId, index: int, victims: list[tuple[JobId, TaskEntry]]
+    ) -> None:
         ctx = self.ctx
         self.not_before[(name, index)] = ctx.now + REPEAT_S
         for victim, entry in victims:
@@ -230,7 +236,7 @@
                 Edit(
                     job_key(victim),
                     jobs.mark_stopping(entry.index, entry.attempt),
-                    fence=ctx.view.token,
+                    fencing_token=ctx.view.token,
                     tag=f"stop{entry.index}",
                 )
             )
--- a/coursefold/coordination/requests.py
+++ b/coursefold/coordination/requests.py
@@ -22,8 +22,8 @@
 from coursefold.protocol.ids import JobId, is_job_id
 from coursefold.protocol.wire import Job, MalformedError, decode_job
 from coursefold.storage import records
-from coursefold.storage.cell_records import AwayStage
-from coursefold.storage.edits import FIRST, Edit
+from coursefold.storage.cell_records import DelegationStage
+from coursefold.storage.edits import HIGH_PRIORITY, Edit
 from coursefold.storage.records import Ending, JobRecord, job_key
 
 log = logging.getLogger(__name__)
@@ -117,7 +117,7 @@
         if len(self.pending) > MAX_PENDING_REQUESTS:
             self._answer_unavailable(ticket, "too many requests", 2)
             return
-        if spec.prereqs and self.view.level < records.OURS:
+        if spec.prerequisites and self.view.level < records.BASE_LEVEL:
             # A controller with an older version would drop the prerequisites from the record.
             self._answer_unavailable(ticket, "not every controller knows prerequisites yet", 2)
             return
@@ -136,7 +136,7 @@
         that did not find it either.
         """
         view = self.view
-        for prerequisite in map(JobId, spec.prereqs or ()):
+        for prerequisite in map(JobId, spec.prerequisites or ()):
             if view.fate(prerequisite) is not None:
                 continue
             if not view_refreshed:
@@ -166,7 +166,8 @@
             if ok:
                 log.info(
                     "accept %s: %d tasks of %s for %s (%g cpus, %g accelerators, %g GB each)",
-                    spec.name, spec.tasks, spec.lane, spec.team, spec.cpus, spec.gpus, spec.memory,
+                    spec.name, spec.task_count, spec.job_class, spec.team, spec.cpus, spec.gpus,
+                    spec.memory_gb,
                 )  # fmt: skip
                 self.ctx.effects.append(
                     Response(ticket, 201, {"NameId": spec.name, "Status": "pending"})
@@ -186,21 +187,23 @@
 
         catalog = self.view.catalog
         if (
-            spec.builds is not None
-            and len(spec.builds) > MAX_UNFILTERED_MACHINE_TYPES
+            spec.machine_types is not None
+            and len(spec.machine_types) > MAX_UNFILTERED_MACHINE_TYPES
             and catalog is not None
         ):
             # The size of a record is limited, so it cannot hold any number of unknown types.
-            known = [t.name for t in catalog.builds if t.name in spec.builds]
-            spec = msgspec.structs.replace(spec, builds=known)
-        fates = {name: self.view.fate(JobId(name)) for name in spec.prereqs or ()}
+            known = [t.name for t in catalog.machine_types if t.name in spec.machine_types]
+            spec = msgspec.structs.replace(spec, machine_types=known)
+        fates = {name: self.view.fate(JobId(name)) for name in spec.prerequisites or ()}
         job_change = jobs.accept(
             spec,
             self.ctx.wall_time,
             [name for name, fate in fates.items() if fate != records.DONE],
             records.CANCELLED in fates.values(),
         )
-        self.queue.propose(Edit(job_key(JobId(spec.name)), job_change, rank=FIRST, done=settled))
+        self.queue.propose(
+            Edit(job_key(JobId(spec.name)), job_change, priority=HIGH_PRIORITY, on_settled=settled)
+        )
 
     def _rejection_reason(self, spec: Job) -> str:
         """Return why the job can never run, or an empty string."""
@@ -209,11 +212,13 @@
         if spec.team not in teams:
             return f"unknown team {spec.team!r}"
         matching_types = (
-            [t for t in catalog.builds if fits_machine_type(spec, t)] if catalog else []
+            [t for t in catalog.machine_types if fits_machine_type(spec, t)] if catalog else []
         )
         if not matching_types:
             return "a task fits no allowed machine type"
-        if not fits_team_limit(teams[spec.team], spec, 1 if spec.shape == "array" else spec.tasks):
+        if not fits_team_limit(
+            teams[spec.team], spec, 1 if spec.kind == "array" else spec.task_count
+        ):
             return "needs more than the team's limit"
         return ""
 
@@ -292,7 +297,9 @@
             else:
                 self._request_fresh_state(ticket, Purpose.OVER, job, None)
 
-        self.queue.propose(Edit(job_key(JobId(job)), jobs.cancel(), rank=FIRST, done=settled))
+        self.queue.propose(
+            Edit(job_key(JobId(job)), jobs.cancel(), priority=HIGH_PRIORITY, on_settled=settled)
+        )
 
     def read_failed(self, ticket: int) -> None:
         """Answer a request with 503 because the state service could not be reached."""
@@ -317,13 +324,13 @@
             self._answer_unknown_job(ticket, purpose, spec)
             return
         if isinstance(found, JobRecord) and found.guest is not None:
-            self._answer_guest_job(ticket, purpose, found.guest.home)
+            self._answer_guest_job(ticket, purpose, found.guest.home_cell)
             return
         if isinstance(found, Ending):
-            done = found.tasks if found.status == records.DONE else 0
+            done = found.task_count if found.status == records.DONE else 0
             body: dict[str, Any] = {
                 "NameId": name,
-                "Status": records.STATUS[found.status],
+                "Status": records.STATUS_NAMES[found.status],
                 "done": done,
                 "running": 0,
             }
@@ -368,13 +375,13 @@
 
     def describe(self, name: str, job: JobRecord) -> dict[str, Any]:
         """Return the body of an answer with a live job's state."""
-        running = sum(1 for e in job.entries if e.stage != records.DEALT)
-        status = records.STATUS[job.status]
+        running = sum(1 for e in job.entries if e.stage != records.ASSIGNED)
+        status = records.STATUS_NAMES[job.status]
         if job.status == records.LIVE and (running or self._runs_in_other_cell(job)):
             status = "running"
         if self.view.needs.is_doomed(JobId(name)):
             # A prerequisite was cancelled; the job's own ending is written later.
-            status = records.STATUS[records.CANCELLED]
+            status = records.STATUS_NAMES[records.CANCELLED]
         body: dict[str, Any] = {
             "NameId": name,
             "Status": status,
@@ -388,7 +395,7 @@
 
     @staticmethod
     def _runs_in_other_cell(job: JobRecord) -> bool:
-        return job.away is not None and job.away.stage == AwayStage.RUNNING
+        return job.delegation is not None and job.delegation.stage == DelegationStage.RUNNING
 
     def _has_unread_prerequisite(self, name: JobId, found: JobRecord) -> bool:
         """Return whether the outcome of a prerequisite has to be read first.
@@ -412,12 +419,12 @@
             )
             return f"waiting for {', '.join(islice(unfinished, MAX_NAMED_JOBS))}{more} to be done"
         away = self.view.away.get(JobId(name))
-        if away is not None and away.away is not None:
-            return describe_remote_placement(away.away, ctx.wall_time)
+        if away is not None and away.delegation is not None:
+            return describe_remote_placement(away.delegation, ctx.wall_time)
         reason = self._leader_reason(name)
         job = self.view.jobs.get(JobId(name))
-        if reason and job is not None and job.away is not None:
-            return f"{reason}; {describe_remote_placement(job.away, ctx.wall_time)}"
+        if reason and job is not None and job.delegation is not None:
+            return f"{reason}; {describe_remote_placement(job.delegation, ctx.wall_time)}"
         return reason
 
     def _leader_reason(self, name: str) -> str:
--- a/coursefold/coordination/summary.py
+++ b/coursefold/coordination/summary.py
@@ -16,7 +16,7 @@
 from coursefold.coordination import cancellations
 from coursefold.coordination.context import Context, PeerMachine, PeerView
 from coursefold.protocol import peer_pb2
-from coursefold.protocol.ids import JobId, Moment
+from coursefold.protocol.ids import JobId, MonotonicTime
 
 log = logging.getLogger(__name__)
 
@@ -336,7 +336,9 @@
     if summary.HasField("cancellations"):
         skew_s = 2.0 * ctx.settings.params.skew_ms / 1000.0
         max_age_s = max(0.0, ctx.wall_time - envelope.sent_at + skew_s)
-        cancellations.apply_message(ctx, peer, summary.cancellations, Moment(ctx.now - max_age_s))
+        cancellations.apply_message(
+            ctx, peer, summary.cancellations, MonotonicTime(ctx.now - max_age_s)
+        )
     for item in summary.machines:
         machine = PeerMachine(
             item.id, item.build, item.zone, item.spot, item.session, ctx.now - item.silent_s
@@ -384,4 +386,4 @@
             continue
         if machine.gang_reservation_until <= ctx.now:
             ctx.notify_peers = True
-        machine.gang_reservation_until = Moment(ctx.now + 4.0)
+        machine.gang_reservation_until = MonotonicTime(ctx.now + 4.0)
--- a/coursefold/coordination/transitions.py
+++ b/coursefold/coordination/transitions.py
@@ -5,8 +5,8 @@
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
 from coursefold.protocol.ids import JobId
-from coursefold.storage.edits import SOON, Edit
-from coursefold.storage.records import Entry, job_key
+from coursefold.storage.edits import NORMAL_PRIORITY, Edit
+from coursefold.storage.records import TaskEntry, job_key
 
 ForwardTransition = Callable[[JobId, jobs.TaskTransition, Edit], bool]
 
@@ -18,8 +18,8 @@
         self.ctx, self.forward = ctx, forward
 
     def propose(
-        self, job_id: JobId, kind: str, entry: Entry, tag: str, *, machine: str = "",
-        rank: int = SOON,
+        self, job_id: JobId, kind: str, entry: TaskEntry, tag: str, *, machine: str = "",
+        rank: int = NORMAL_PRIORITY,
     ) -> bool:  # fmt: skip
         """Propose a transition of one task.
 
@@ -47,7 +47,7 @@
         job_id: JobId,
         transition: jobs.TaskTransition,
         tag: str,
-        rank: int = SOON,
+        rank: int = NORMAL_PRIORITY,
         done: Callable[[bool, str], None] | None = None,
     ) -> bool:
         """Propose a transition.
@@ -66,9 +66,9 @@
         edit = Edit(
             job_key(job_id),
             transition.to_change(),
-            rank=rank,
-            fence=self.ctx.view.token,
+            priority=rank,
+            fencing_token=self.ctx.view.token,
             tag=tag,
-            done=done,
+            on_settled=done,
         )
         return self.forward(job_id, transition, edit)
--- a/coursefold/coordination/urgency.py
+++ b/coursefold/coordination/urgency.py
@@ -10,12 +10,12 @@
 
 from coursefold.coordination.context import Context
 from coursefold.protocol.ids import JobId
-from coursefold.protocol.wire import RANKS, Job
+from coursefold.protocol.wire import PRIORITY_ORDER, Job
 from coursefold.storage.records import JobRecord
 
 CACHE_S = 10.0  # run times change slowly
 GUEST_DELAY_S = 120.0  # from then on another cell's job has its own priority here
-LOWEST_PRIORITY = max(RANKS.values())
+LOWEST_PRIORITY = max(PRIORITY_ORDER.values())
 
 
 class EffectivePriority(NamedTuple):
@@ -58,12 +58,17 @@
         return self.get_effective_priority(name, job).priority
 
     def _get_own_priority(self, job: JobRecord) -> EffectivePriority:
-        deadline_s = job.spec.due
-        priority = RANKS[job.spec.rank]
-        if job.guest is not None and self.ctx.wall_time - job.guest.at < GUEST_DELAY_S:
+        deadline_s = job.spec.deadline_s
+        priority = PRIORITY_ORDER[job.spec.priority]
+        if (
+            job.guest is not None
+            and self.ctx.wall_time - job.guest.stage_started_at < GUEST_DELAY_S
+        ):
             # A cell's own jobs go first, but other cells' jobs must not starve behind them.
             priority = LOWEST_PRIORITY
-        return EffectivePriority(priority, None if deadline_s is None else job.at + deadline_s)
+        return EffectivePriority(
+            priority, None if deadline_s is None else job.accepted_at + deadline_s
+        )
 
     def _inherit_priority(self, first: JobId) -> EffectivePriority:
         """Search depth first, without recursion since users may submit chains of any length."""
@@ -102,7 +107,7 @@
     def _estimate_duration_s(self, spec: Job) -> float:
         """Return the seconds from when a job may start until its end is known."""
         fetch_s = 0.0
-        for type_info in self.ctx.view.catalog.builds if self.ctx.view.catalog else ():
-            if type_info.fetch:
-                fetch_s = max(fetch_s, spec.image_gb / type_info.fetch)
+        for type_info in self.ctx.view.catalog.machine_types if self.ctx.view.catalog else ():
+            if type_info.fetch_gb_per_s:
+                fetch_s = max(fetch_s, spec.image_gb / type_info.fetch_gb_per_s)
         return self.estimate_run_s(spec) + fetch_s + 2.0 * self.ctx.settings.params.workers.report_s
--- a/tests/world.py
+++ b/tests/world.py
@@ -19,7 +19,7 @@
     SendCommands,
 )
 from coursefold.protocol import peer_pb2
-from coursefold.protocol.ids import JobId, Moment, WallTime
+from coursefold.protocol.ids import JobId, MonotonicTime, WallTime
 from coursefold.protocol.wire import Catalog, encode
 from coursefold.settings import Settings
 from coursefold.storage import codec, records
@@ -93,7 +93,7 @@
         self.frames = 0
         self.answers: dict[int, Response] = {}
         self.direct: list[SendCommands] = []
-        self.store.set(records.CATALOG, msgspec.to_builtins(self._catalog()))
+        self.store.set(records.CATALOG_KEY, msgspec.to_builtins(self._catalog()))
         self.restart()
 
     @staticmethod
@@ -109,7 +109,7 @@
     # Time
 
     def enter(self) -> Core:
-        self.core.set_time(Moment(100.0 + self.now), WallTime(EPOCH + self.now))
+        self.core.set_time(MonotonicTime(100.0 + self.now), WallTime(EPOCH + self.now))
         return self.core
 
     def run(self, until: float) -> None:
@@ -133,7 +133,7 @@
         raise AssertionError("the core never comes to rest")
 
     def _heard(self) -> None:
-        self.core.ctx.state_ok_at = Moment(100.0 + self.now)
+        self.core.ctx.state_ok_at = MonotonicTime(100.0 + self.now)
 
     def _lease(self) -> None:
         ctx = self.core.ctx
@@ -142,7 +142,7 @@
             return
         if not ctx.lease_id or not self.store.touch(self.now, ctx.lease_id):
             ctx.lease_id = self.store.grant(self.now, LIFE_MS)
-        ctx.lease_until = Moment(100.0 + self.now + LIFE_MS / 1000)
+        ctx.lease_until = MonotonicTime(100.0 + self.now + LIFE_MS / 1000)
         self._heard()
 
     def _news(self) -> None:
@@ -159,18 +159,18 @@
                 else:
                     view.drop(item["Remove"], item["Stamp"])
         self.followed = view.ledger = self.store.ledger
-        self.core.ctx.watch_ok_at = Moment(100.0 + self.now)
+        self.core.ctx.watch_ok_at = MonotonicTime(100.0 + self.now)
 
     def _commit(self) -> bool:
         queue = self.core.queue
-        now = Moment(100.0 + self.now)
+        now = MonotonicTime(100.0 + self.now)
         reread = False
         for key in queue.stale_keys():
             if self.state == "up":
                 reread = True
                 self._news()
-                ended = self.store.row(key.replace(records.JOBS, records.ENDINGS))
-                if key.startswith(records.JOBS) and key not in self.store.keys and ended:
+                ended = self.store.row(key.replace(records.JOB_PREFIX, records.ENDING_PREFIX))
+                if key.startswith(records.JOB_PREFIX) and key not in self.store.keys and ended:
                     queue.over(key)
                 queue.refreshed(key)
         batch = queue.next_batch(now)
@@ -217,7 +217,7 @@
             return
         key = records.ending_key(JobId(read.job))
         row = self.store.row(key)
-        record = codec.parse(key, row["Value"]) if row is not None else None
+        record = codec.decode_record(key, row["Value"]) if row is not None else None
         self.core.receive_job_result(read.ticket, record if isinstance(record, Ending) else None)
 
     def _vouch(self) -> None:
@@ -293,7 +293,7 @@
     def join(self, member: str, zone: str) -> None:
         """Another controller joins, and holds its lease."""
         permit = self.store.grant(self.now, 3_600_000)
-        self.store.set(records.MEMBERS + member, [member, permit, zone], permit)
+        self.store.set(records.MEMBER_PREFIX + member, [member, permit, zone], permit)
 
     def peer_frame(
         self,
@@ -331,6 +331,6 @@
         """Another node becomes the only member of the roster."""
         permit = self.store.grant(self.now, 3_600_000)
         member = [leader, permit, zone]
-        self.store.set(records.MEMBERS + leader, member, permit)
-        self.store.set(str(records.ROSTER), [leader, [member]])
+        self.store.set(records.MEMBER_PREFIX + leader, member, permit)
+        self.store.set(str(records.ROSTER_KEY), [leader, [member]])
         self._news()
