--- a/coursefold/coordination/cloud.py
+++ b/coursefold/coordination/cloud.py
@@ -5,19 +5,15 @@
 sends the request again.
 """
 
-
-
 import math
+from enum import StrEnum
+from typing import Any, NamedTuple
+
 from coursefold.coordination.context import Context
 from coursefold.coordination.demand import PoolId
 from coursefold.coordination.effects import CloudCall
 from coursefold.storage.limits import TokenBucket
 from coursefold.storage.records import Rental
-from enum import StrEnum
-from typing import Any
-from typing import NamedTuple
-
-
 
 RATE_SHARE = 0.8  # of the cloud's rate; the last requests of a former leader use some of it, too
 MIN_RENTALS_IN_FLIGHT = 2
