--- a/coursefold/client.py
+++ b/coursefold/client.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from coursefold.protocol.wire import encode
-from coursefold.transport.http_client import HttpClient, NoAnswerError
+from coursefold.transport.http_client import HttpClient, NoResponseError
 
 TIMEOUT_S = 5.0
 
@@ -59,7 +59,7 @@
 
     try:
         status, raw = asyncio.run(once())
-    except NoAnswerError as wrong:
+    except NoResponseError as wrong:
         raise RefusedError(f"{node} does not answer: {wrong}") from None
     try:
         answer = msgspec.msgpack.decode(raw)
--- a/coursefold/service.py
+++ b/coursefold/service.py
@@ -25,7 +25,7 @@
 from coursefold.storage import codec, records, spreading
 from coursefold.storage.batches import Batch
 from coursefold.storage.records import Ending, ending_key
-from coursefold.transport.http_client import HttpClient, NoAnswerError
+from coursefold.transport.http_client import HttpClient, NoResponseError
 from coursefold.transport.peers import PeerLink, PeerServer
 from coursefold.transport.server import Server
 from coursefold.transport.state import StateClient, UnavailableError, jitter
@@ -51,7 +51,7 @@
 COMMITS = 3
 STATE_CONNECTIONS = 8
 CLOUD_CONNECTIONS = 4
-DIRECTS = 30  # commands to workers' own addresses at once
+MAX_DIRECT_REQUESTS = 30  # commands to workers' own addresses at once
 OWN_FILES = 12  # listeners, the event loop, standard streams, a few to spare
 
 
@@ -82,8 +82,10 @@
         self.follow_pause = max(FOLLOW_S, nodes * FOLLOW_COST / params.state.rps)
         self.vouch_pause = max(VOUCH_S, nodes * VOUCH_COST / params.state.rps)
         self.cloud = HttpClient(settings.services.cloud, connections=CLOUD_CONNECTIONS)
-        self.directs = asyncio.Semaphore(DIRECTS)
-        reserved = OWN_FILES + STATE_CONNECTIONS + 1 + CLOUD_CONNECTIONS + DIRECTS + 2 * nodes
+        self.directs = asyncio.Semaphore(MAX_DIRECT_REQUESTS)
+        reserved = (
+            OWN_FILES + STATE_CONNECTIONS + 1 + CLOUD_CONNECTIONS + MAX_DIRECT_REQUESTS + 2 * nodes
+        )
         self.cell_transport = self._open_cells(cells) if cells is not None else None
         if shares is not None:
             from coursefold.shares.shares import Shares  # its libraries take memory
@@ -101,7 +103,7 @@
         self.life_ms = int(min(2500.0, params.workers.lease_s * 250.0))
         self.wake = asyncio.Event()
         self.dirty = asyncio.Event()
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.background_tasks: set[asyncio.Task[None]] = set()
         self.flying = 0
         self.permit_ready = asyncio.Event()
 
@@ -122,11 +124,11 @@
 
     def _spawn(self, work: Any) -> None:
         task = asyncio.ensure_future(work)
-        self.tasks.add(task)
+        self.background_tasks.add(task)
         task.add_done_callback(self._ended)
 
     def _ended(self, task: "asyncio.Task[None]") -> None:
-        self.tasks.discard(task)
+        self.background_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.error("a background task failed", exc_info=task.exception())
 
@@ -159,7 +161,7 @@
         """Carry out what the core asks for."""
         for effect in self.core.take_effects():
             if isinstance(effect, Response):
-                self.server.answer(effect.ticket, effect.status, effect.body, effect.retry_after)
+                self.server.respond(effect.ticket, effect.status, effect.body, effect.retry_after)
             elif isinstance(effect, RefreshView):
                 self.asked.set()
             elif isinstance(effect, ReadJobResult):
@@ -167,7 +169,7 @@
             elif isinstance(effect, CloudCall):
                 self._spawn(self._cloud_call(effect))
             elif isinstance(effect, SendCommands):
-                self._spawn(self._direct(effect))
+                self._spawn(self._send_commands(effect))
             elif isinstance(effect, NotifyPeers):
                 for member in effect.members:
                     self.links[member].wake.set()
@@ -194,9 +196,9 @@
             began = time.process_time()
             core = self._enter()
             core.tick()
-            for ticket in self.server.overdue():
+            for ticket in self.server.list_overdue():
                 core.forget_ticket(ticket)
-                self.server.answer(ticket, 503, {"error": "busy"}, 1)
+                self.server.respond(ticket, 503, {"error": "busy"}, 1)
             self._flush()
             cost = min(1.0, time.process_time() - began)
 
@@ -208,7 +210,7 @@
             self._route(core, ticket, method, path, body)
         except Exception:
             log.exception("request %s %s", method, path[:100])
-            self.server.answer(ticket, 500, {"error": "internal"})
+            self.server.respond(ticket, 500, {"error": "internal"})
         self._flush()
 
     def _route(self, core: Core, ticket: int, method: str, path: str, body: bytes) -> None:
@@ -216,7 +218,7 @@
             core.handle_report(body, ticket)
         elif path == "/healthz" and method == "GET":
             healthy = core.is_healthy()
-            self.server.answer(ticket, 200 if healthy else 503, core.health_status())
+            self.server.respond(ticket, 200 if healthy else 503, core.health_status())
         elif path == "/work" and method == "POST":
             core.submit(body, ticket)
         elif path.startswith("/shares/") and method == "POST":
@@ -228,9 +230,9 @@
             elif method == "POST" and verb == "cancel":
                 core.cancel(job, ticket)
             else:
-                self.server.answer(ticket, 404, {"error": "no such path"})
+                self.server.respond(ticket, 404, {"error": "no such path"})
         else:
-            self.server.answer(ticket, 404, {"error": "no such path"})
+            self.server.respond(ticket, 404, {"error": "no such path"})
 
     # Peers
 
@@ -263,14 +265,14 @@
             status, answer = await self.cloud.fetch(
                 method, path, encode(body) if method == "POST" else None, 4.0
             )
-        except NoAnswerError as wrong:
+        except NoResponseError as wrong:
             log.debug("cloud: %s", wrong)
             status, answer = 0, b""
         self._enter().receive_cloud_response(call.call_id, status, answer)
         self._flush()
         self._changed()
 
-    async def _direct(self, direct: SendCommands) -> None:
+    async def _send_commands(self, direct: SendCommands) -> None:
         """Commands to a worker's address; its next report tells what came of them."""
         try:
             client = HttpClient(direct.address, 1)
@@ -283,7 +285,7 @@
             async with asyncio.timeout(DIRECT_S), self.directs:
                 status, _ = await client.fetch("POST", "/orders", body, DIRECT_S)
             log.debug("orders to %s: %d", direct.address, status)
-        except (NoAnswerError, TimeoutError) as wrong:
+        except (NoResponseError, TimeoutError) as wrong:
             log.debug("orders to %s: %s", direct.address, wrong)
         finally:
             client.close()
@@ -494,7 +496,7 @@
         """The final state of a job that is not, or no longer, among the live ones."""
         found: Ending | None = None
         try:
-            if not self.state.room():
+            if not self.state.try_reserve_read():
                 raise UnavailableError("over our part of the rate", 429)
             row = await self.state.get(ending_key(job))
             if row is not None:
--- a/coursefold/transport/http_client.py
+++ b/coursefold/transport/http_client.py
@@ -25,7 +25,7 @@
 BODY_LIMIT = 64 * 1024 * 1024
 
 
-class NoAnswerError(Exception):
+class NoResponseError(Exception):
     """No response: the request may have been executed, or may be yet."""
 
 
@@ -57,7 +57,7 @@
     def __init__(self, address: str, connections: int) -> None:
         self.address = address
         self.host, self.port = split_address(address)
-        self.idle: list[IOStream] = []
+        self.idle_streams: list[IOStream] = []
         self.slots = asyncio.Semaphore(connections)
         self.params = HTTP1ConnectionParameters(max_body_size=BODY_LIMIT)
 
@@ -69,7 +69,7 @@
             async with asyncio.timeout(timeout), self.slots:
                 return await self._exchange(method, path, body)
         except (TimeoutError, StreamClosedError, OSError, ValueError) as wrong:
-            raise NoAnswerError(f"{method} {path}: {wrong or type(wrong).__name__}") from None
+            raise NoResponseError(f"{method} {path}: {wrong or type(wrong).__name__}") from None
 
     async def _exchange(self, method: str, path: str, body: bytes | None) -> tuple[int, bytes]:
         stream = await self._stream()
@@ -91,19 +91,19 @@
             return collector.status, b"".join(collector.chunks)
         finally:
             if keep and not stream.closed():
-                self.idle.append(stream)
+                self.idle_streams.append(stream)
             else:
                 stream.close()
 
     def close(self) -> None:
         """Close what is idle; for addresses that are asked once."""
-        for stream in self.idle:
+        for stream in self.idle_streams:
             stream.close()
-        self.idle.clear()
+        self.idle_streams.clear()
 
     async def _stream(self) -> IOStream:
-        while self.idle:
-            stream = self.idle.pop()
+        while self.idle_streams:
+            stream = self.idle_streams.pop()
             if not stream.closed():
                 return stream
         stream = await TCPClient().connect(self.host, self.port, timeout=CONNECT_S)
--- a/coursefold/transport/peers.py
+++ b/coursefold/transport/peers.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-FRAME_LIMIT = 1024 * 1024
+MAX_FRAME_BYTES = 1024 * 1024
 IDLE_S = 30.0
 STUCK_S = 2.0
 STEADY_S = 5.0
@@ -35,7 +35,7 @@
     def __init__(
         self, listen: str, take: FrameHandler, allows: Callable[[str], bool] = _anybody
     ) -> None:
-        super().__init__(max_buffer_size=2 * FRAME_LIMIT)
+        super().__init__(max_buffer_size=2 * MAX_FRAME_BYTES)
         self.take, self.allows = take, allows
         host, port = split_address(listen)
         self.listen(port, host)
@@ -51,7 +51,7 @@
                 async with asyncio.timeout(IDLE_S):
                     head = await stream.read_bytes(4)
                     (length,) = struct.unpack(">I", head)
-                    if not 0 < length <= FRAME_LIMIT:
+                    if not 0 < length <= MAX_FRAME_BYTES:
                         log.error("peer frame of %d bytes from %s dropped", length, address[0])
                         break
                     frame = await stream.read_bytes(length)
--- a/coursefold/transport/server.py
+++ b/coursefold/transport/server.py
@@ -17,7 +17,7 @@
 
 MAX_BODY = 128 * 1024
 REASONS = {status.value: status.phrase for status in HTTPStatus}
-IDLE_S = 300.0
+CONNECTION_IDLE_S = 300.0
 SWEEP_S = 20.0
 SUBMIT_S = 3.0
 POLL_S = 1.8
@@ -36,19 +36,19 @@
 
     def __init__(self, most: int) -> None:
         self.most = most
-        self.used: dict[IOStream, tuple[bool, float]] = {}
+        self.last_used: dict[IOStream, tuple[bool, float]] = {}
         self.swept_at = time.monotonic()
 
     def opened(self, stream: IOStream) -> None:
         """A connection was accepted: close another if there are too many."""
-        if len(self.used) >= self.most:
-            self.used = {s: u for s, u in self.used.items() if not s.closed()}
-        while len(self.used) >= self.most:
-            oldest = min(self.used, key=self.used.__getitem__)
-            del self.used[oldest]
+        if len(self.last_used) >= self.most:
+            self.last_used = {s: u for s, u in self.last_used.items() if not s.closed()}
+        while len(self.last_used) >= self.most:
+            oldest = min(self.last_used, key=self.last_used.__getitem__)
+            del self.last_used[oldest]
             oldest.close()
             log.debug("a connection closed for a new one")
-        self.used[stream] = (False, time.monotonic())
+        self.last_used[stream] = (False, time.monotonic())
 
     def sweep(self) -> None:
         """Close what has sent no whole request for long: idle, or too slow on purpose."""
@@ -56,16 +56,16 @@
         if now - self.swept_at < SWEEP_S:
             return
         self.swept_at = now
-        for stream, (_, asked_at) in list(self.used.items()):
-            if now - asked_at > IDLE_S:
+        for stream, (_, asked_at) in list(self.last_used.items()):
+            if now - asked_at > CONNECTION_IDLE_S:
                 stream.close()
             if stream.closed():
-                del self.used[stream]
+                del self.last_used[stream]
 
     def asked(self, stream: IOStream | None, worker: bool) -> None:
         """A request came over it."""
-        if stream in self.used:
-            self.used[stream] = (worker, time.monotonic())
+        if stream in self.last_used:
+            self.last_used[stream] = (worker, time.monotonic())
 
 
 class _Http(HTTPServer):
@@ -113,7 +113,7 @@
         self.open[ticket] = (request, time.monotonic() + limit, kind)
         self.dispatch(ticket, request.method or "", path, request.body or b"")
 
-    def answer(self, ticket: int, status: int, body: Any, retry_after: int | None = None) -> None:
+    def respond(self, ticket: int, status: int, body: Any, retry_after: int | None = None) -> None:
         """Send a response; an asker that is gone is no error."""
         entry = self.open.pop(ticket, None)
         if entry is None:
@@ -136,7 +136,7 @@
         except (StreamClosedError, OSError):
             log.debug("asker of request %d has gone", ticket)
 
-    def overdue(self) -> list[int]:
+    def list_overdue(self) -> list[int]:
         """Requests that the core could not answer in time."""
         self.connections.sweep()
         now = time.monotonic()
--- a/coursefold/transport/state.py
+++ b/coursefold/transport/state.py
@@ -19,7 +19,7 @@
     encode,
 )
 from coursefold.storage.limits import TokenBucket
-from coursefold.transport.http_client import HttpClient, NoAnswerError
+from coursefold.transport.http_client import HttpClient, NoResponseError
 
 log = logging.getLogger(__name__)
 
@@ -71,14 +71,14 @@
         payload = None if body is None else encode(body)
         try:
             status, answer = await (client or self.http).fetch(method, path, payload, timeout)
-        except NoAnswerError as wrong:
+        except NoResponseError as wrong:
             raise UnavailableError(str(wrong), 0) from None
         if status not in ANSWERS:
             raise UnavailableError(f"{method} {path}: {status}", status)
         self.heard(sent)
         return status, answer
 
-    def room(self) -> bool:
+    def try_reserve_read(self) -> bool:
         """Room for one user's read? It is taken."""
         if self.reads.refill(self.clock()) < 1.0:
             return False
--- a/tests/cell_processes.py
+++ b/tests/cell_processes.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from coursefold.protocol.wire import encode
-from coursefold.transport.http_client import HttpClient, NoAnswerError
+from coursefold.transport.http_client import HttpClient, NoResponseError
 from tests.standins.servers import Cloud, cloud_app, state_app
 from tests.standins.state import StateStore
 from tests.test_loopback import free_ports
@@ -124,7 +124,7 @@
         payload = None if body is None else encode(body)
         try:
             status, answer = await HttpClient(self.users[node], 1).fetch(method, path, payload, 5.0)
-        except NoAnswerError:
+        except NoResponseError:
             return 0, {}
         return status, msgspec.msgpack.decode(answer)
 
--- a/tests/standins/servers.py
+++ b/tests/standins/servers.py
@@ -20,7 +20,7 @@
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import encode
 from coursefold.storage import codec, records
-from coursefold.transport.http_client import HttpClient, NoAnswerError
+from coursefold.transport.http_client import HttpClient, NoResponseError
 from tests.standins.state import StateStore
 
 CATALOG = {
@@ -167,7 +167,7 @@
                     at, pause = names.index(body["Foreman"]), 0.05
                 else:
                     at, pause = (at + 1) % len(names), 0.5
-            except NoAnswerError:
+            except NoResponseError:
                 at, pause = (at + 1) % len(names), 0.5
             await asyncio.sleep(pause)
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -10,7 +10,7 @@
 from coursefold.protocol.wire import encode
 from coursefold.settings import Settings
 from coursefold.transport.http_client import HttpClient
-from coursefold.transport.server import IDLE_S, Server
+from coursefold.transport.server import CONNECTION_IDLE_S, Server
 from tests.test_loopback import free_ports
 from tests.world import SETTINGS
 
@@ -20,17 +20,17 @@
 async def flood() -> None:
     (port,) = free_ports(1)
     address = f"127.0.0.1:{port}"
-    server = Server(address, lambda ticket, *_: server.answer(ticket, 200, {}), MOST)
+    server = Server(address, lambda ticket, *_: server.respond(ticket, 200, {}), MOST)
     worker = HttpClient(address, 1)
     body = encode({})
     assert (await worker.fetch("POST", "/agent/beat", body, 2.0))[0] == 200
-    stream = worker.idle[0]
+    stream = worker.idle_streams[0]
     held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(4 * MOST)]
     await asyncio.sleep(0.05)
     # The worker's connection is the oldest of all, and still there.
     assert (await worker.fetch("POST", "/agent/beat", body, 2.0))[0] == 200
-    assert worker.idle == [stream]
-    assert sum(not s.closed() for s in server.connections.used) <= MOST
+    assert worker.idle_streams == [stream]
+    assert sum(not s.closed() for s in server.connections.last_used) <= MOST
     late = HttpClient(address, 1)
     assert (await late.fetch("POST", "/agent/beat", body, 2.0))[0] == 200
     for _, writer in held:
@@ -44,19 +44,19 @@
 
 async def sweep() -> None:
     (port,) = free_ports(1)
-    server = Server(f"127.0.0.1:{port}", lambda ticket, *_: server.answer(ticket, 200, {}), MOST)
+    server = Server(f"127.0.0.1:{port}", lambda ticket, *_: server.respond(ticket, 200, {}), MOST)
     slow = await asyncio.open_connection("127.0.0.1", port)
     slow[1].write(b"POST /agent/beat HTTP/1.1\r\nContent-Length: 9\r\n")
     busy = HttpClient(f"127.0.0.1:{port}", 1)
     await asyncio.sleep(0.05)
-    for stream in server.connections.used:
-        server.connections.used[stream] = (False, -IDLE_S)
+    for stream in server.connections.last_used:
+        server.connections.last_used[stream] = (False, -CONNECTION_IDLE_S)
     await busy.fetch("POST", "/agent/beat", encode({}), 2.0)
-    server.connections.swept_at = -IDLE_S
-    server.overdue()
+    server.connections.swept_at = -CONNECTION_IDLE_S
+    server.list_overdue()
     assert await asyncio.wait_for(slow[0].read(), 2.0) == b""
     assert (await busy.fetch("POST", "/agent/beat", encode({}), 2.0))[0] == 200
-    assert len(server.connections.used) == 1
+    assert len(server.connections.last_used) == 1
     server.http.stop()
 
 
@@ -90,10 +90,12 @@
         listen = {key: f"127.0.0.1:{port}" for key, port in ports.items()}
         controller = service.Service(msgspec.convert(SETTINGS | listen, Settings))
         monkeypatch.setattr(service, "HttpClient", Silent)
-        orders = [SendCommands("10.0.0.1:9000", 1, 1, []) for _ in range(4 * service.DIRECTS)]
-        await asyncio.gather(*(controller._direct(order) for order in orders))
+        orders = [
+            SendCommands("10.0.0.1:9000", 1, 1, []) for _ in range(4 * service.MAX_DIRECT_REQUESTS)
+        ]
+        await asyncio.gather(*(controller._send_commands(order) for order in orders))
         controller.server.http.stop()
         controller.peer_server.stop()
 
     asyncio.run(asyncio.wait_for(send(), 20.0))
-    assert open_now[1] == service.DIRECTS
+    assert open_now[1] == service.MAX_DIRECT_REQUESTS
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,7 +16,7 @@
 from coursefold.protocol.ids import JobId, MonotonicTime
 from coursefold.storage import records
 from coursefold.storage.view import View
-from coursefold.transport.peers import FRAME_LIMIT
+from coursefold.transport.peers import MAX_FRAME_BYTES
 from tests.measure_size import large_fleet
 from tests.test_policy import ENV
 from tests.world import World
@@ -83,8 +83,8 @@
     teller = PeerFrameBuilder(ctx, MachineRows(ctx), "n1")
     sibling = listener(world)
     assert sibling.hears(teller, {}) > 2
-    assert max(map(len, sibling.frames)) < FRAME_LIMIT
-    assert sum(map(len, sibling.frames)) > FRAME_LIMIT
+    assert max(map(len, sibling.frames)) < MAX_FRAME_BYTES
+    assert sum(map(len, sibling.frames)) > MAX_FRAME_BYTES
     known = sibling.ctx.peers["n0"]
     assert set(names) <= set(known.machines)
     assert known.is_complete
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -125,7 +125,7 @@
         for task in running:
             task.cancel()
         for service in services:
-            for work in list(service.tasks):
+            for work in list(service.background_tasks):
                 work.cancel()
             service.server.http.stop()
             service.peer_server.stop()
--- a/tests/test_questions.py
+++ b/tests/test_questions.py
@@ -57,9 +57,9 @@
     """Seen by reading: a busy leader refused every poll for a job that ended long ago."""
     now = [MonotonicTime(10.0)]
     client = StateClient("127.0.0.1:1", 100.0, 5, lambda: now[0], lambda _: None)
-    assert sum(client.room() for _ in range(50)) == 8
+    assert sum(client.try_reserve_read() for _ in range(50)) == 8
     now[0] = MonotonicTime(11.0)
-    assert sum(client.room() for _ in range(50)) == 4
+    assert sum(client.try_reserve_read() for _ in range(50)) == 4
 
 
 def test_endings_move_away_when_nothing_else_is_to_be_written() -> None:
