--- a/coursefold/__init__.py
+++ b/coursefold/__init__.py
@@ -1,3 +1,3 @@
-"""coursefold: a cluster scheduler with a queue-sized fleet."""
+"""coursefold: a cluster scheduler that sizes its fleet of rented machines by its queues."""
 
 __version__ = "0.2.0"
--- a/coursefold/__main__.py
+++ b/coursefold/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m coursefold`."""
+"""Entry point of `python3 -m coursefold`: runs the command line interface."""
 
 from coursefold.cli import main
 
