--- a/coursefold/coordination/demand.py
+++ b/coursefold/coordination/demand.py
@@ -433,7 +433,7 @@
                 continue
             usable_by_zone = {
                 zone: sum(
-                    1 for r in capacities if r.zone == zone and (r.type_info.name, r.spot) == pool
+                    1 for c in capacities if c.zone == zone and (c.type_info.name, c.spot) == pool
                 )
                 for zone in open_zones
             }
--- a/coursefold/coordination/fleet.py
+++ b/coursefold/coordination/fleet.py
@@ -126,9 +126,9 @@
                 type_info.price_per_hour, type_info.spot_price_per_hour,
             )  # fmt: skip
         key = records.MACHINE_TYPES_KEY if self.ctx.view.level else records.CATALOG_KEY
-        fence = self.ctx.view.token
+        fencing_token = self.ctx.view.token
         self.ctx.queue.propose(
-            Edit(key, change, fencing_token=fence, priority=LOW_PRIORITY, tag="catalog")
+            Edit(key, change, fencing_token=fencing_token, priority=LOW_PRIORITY, tag="catalog")
         )
 
     def _add_page(self, request: ListRequest, page: MachineList) -> None:
