--- a/coursefold/service.py
+++ b/coursefold/service.py
@@ -449,10 +449,10 @@
         raise AssertionError("not reached")
 
     async def _load_records(self) -> tuple[list[KeyRow], int]:
-        """Return all records but archived endings, to save memory, and a revision.
+        """Return the records to keep in memory, and a revision that they are at least as new as.
 
-        The records are at least as new as the revision. The catalog's key sorts before the
-        endings, so it takes a request of its own.
+        The listing starts after the archived endings, which would take too much memory. The
+        catalog's key sorts before them, so it takes a request of its own.
         """
         found, revision = await self.state_client.list_rows(records.CATALOG_KEY)
         rows, _ = await self.state_client.list_rows(records.ROOT, after=records.ENDING_PREFIX + "~")
