--- a/coursefold/storage/records.py
+++ b/coursefold/storage/records.py
@@ -28,9 +28,9 @@
 SHARE_REQUEST_PREFIX = "cf/r/"
 FORMAT_LEVEL_KEY = Key("cf/level")
 MACHINE_TYPES_KEY = Key("cf/types")  # replaces CATALOG_KEY once a format level is set
-BASE_LEVEL = 1  # the forms that this version always writes
-CELLS_LEVEL = 2  # with a cells file: delegated jobs and guests as well
-SHARES_LEVEL = 3  # with a shares file: owners of moved machines as well
+BASE_LEVEL = 1  # forms of this version without a cells or shares file
+CELLS_LEVEL = 2  # with a cells file: also delegated jobs and guests
+SHARES_LEVEL = 3  # with a shares file: also owners of moved machines
 NEWEST_LEVEL = SHARES_LEVEL  # the highest level that this version can read
 
 ASSIGNED, PLACED, STOPPING = 0, 1, 2  # stages of a task's entry
@@ -231,7 +231,7 @@
 
 
 class PoolRecord(Struct, array_like=True, frozen=True):
-    """The rentals of a pool, which is a set of machines of one type.
+    """The rentals of a pool: machines of one type, either spot or not.
 
     This version does not use `target`, `integral` and `returning`; they keep their places in the
     stored list.
