--- a/coursefold/cells/cells.py
+++ b/coursefold/cells/cells.py
@@ -50,8 +50,8 @@
         if not self.port.leads():
             self.led_token = 0
             return
-        if self.led_token != self.core.view.token:
-            self.led_token = self.core.view.token
+        if self.led_token != self.core.view.fencing_token:
+            self.led_token = self.core.view.fencing_token
             self._forget_frames()
         self.home.tick()
         self.guest.tick()
@@ -73,7 +73,7 @@
         for home in ctx.grants.seen_grants:
             now_lapsed = ctx.grants.has_expired(home, ctx.now, ctx.wall_time)
             if now_lapsed and not self.lapsed.get(home, True):
-                guests = self.core.view.guests.items()
+                guests = self.core.view.guest_jobs.items()
                 names = [n for n, job in guests if job.guest and job.guest.home_cell == home]
                 if names:
                     log.info("the grant of %s has ended: %d jobs are stopped", home, len(names))
@@ -97,7 +97,7 @@
         frame = Frame(
             cell=self.config.cell,
             member=str(ctx.own_name),
-            token=self.core.view.token,
+            token=self.core.view.fencing_token,
             seq=self.seq,
             sent_at=ctx.wall_time,
             lease_s=workers.lease_s,
@@ -134,7 +134,7 @@
         """Our jobs in other cells and theirs here, those that moved last first."""
         wall, view = self.core.ctx.wall_time, self.core.view
         found: list[tuple[float, str, str, str]] = []
-        for name, job in view.away.items():
+        for name, job in view.delegated_jobs.items():
             if job.delegation:
                 where = f"in cell {job.delegation.guest_cell}"
                 found.append(
@@ -145,7 +145,7 @@
                         job.delegation.stage.name.lower(),
                     )
                 )
-        for name, job in view.guests.items():
+        for name, job in view.guest_jobs.items():
             if job.guest:
                 whose = f"here for cell {job.guest.home_cell}"
                 found.append(
@@ -160,10 +160,10 @@
         ctx, view = self.core.ctx, self.core.view
         away = [
             job.delegation
-            for job in view.away.values()
+            for job in view.delegated_jobs.values()
             if job.delegation and job.delegation.guest_cell == cell.name
         ]
-        guests = [j for j in view.guests.values() if j.guest and j.guest.home_cell == cell.name]
+        guests = [j for j in view.guest_jobs.values() if j.guest and j.guest.home_cell == cell.name]
         heard = ctx.now - cell.heard_at
         summary = read_summary(cell.frame.waits) if cell.frame and cell.frame.waits else None
         return {
--- a/coursefold/cells/guest.py
+++ b/coursefold/cells/guest.py
@@ -54,7 +54,7 @@
     def tick(self) -> None:
         """One round of the leader."""
         self._look_at_pools()
-        for name, job in list(self.view.guests.items()):
+        for name, job in list(self.view.guest_jobs.items()):
             self._check(name, job)
         for cell in self.directory.cells.values():
             frame = cell.frame
@@ -95,7 +95,7 @@
         offered = {offer.handle[:2] for offer in frame.offers}
         granted, revoked, closed = set(frame.grants), set(frame.revoked), set(frame.closed)
         settled = True
-        for name, job in list(self.view.guests.items()):
+        for name, job in list(self.view.guest_jobs.items()):
             if job.guest is None or job.guest.home_cell != home:
                 continue
             handle = handle_of(name, job)
@@ -119,7 +119,7 @@
 
     def _hold(self, home: str, frame: Frame) -> None:
         """Record the grant's end, before any guest runs by it."""
-        link = self.view.links.get(home, CellLink())
+        link = self.view.cell_links.get(home, CellLink())
         left = frame.until - self.ctx.wall_time
         if frame.until > link.held_until and left > 0:
             self.port.change_link(home, edits.hold_grant(frame.until, left), "held")
@@ -164,7 +164,7 @@
 
     def _is_here(self, home: str, handle: Handle) -> bool:
         """Is the offer reserved already, or an earlier one of the job still to be cleared?"""
-        job = self.view.guests.get(handle.job)
+        job = self.view.guest_jobs.get(handle.job)
         if job is not None and job.guest is not None and job.guest.home_cell == home:
             return True
         return self.port.is_writing(handle.job)
@@ -192,7 +192,7 @@
 
     def _live_guests(self) -> int:
         """Guests that take room, or may yet."""
-        stages = (job.guest.stage for job in self.view.guests.values() if job.guest)
+        stages = (job.guest.stage for job in self.view.guest_jobs.values() if job.guest)
         return sum(stage not in OVER for stage in stages)
 
     def _refuse(self, home: str, handle: Handle, why: str) -> None:
@@ -202,7 +202,7 @@
 
     def _reserve(self, home: str, offer: Offer) -> None:
         self.reservations += 1
-        reservation = f"{self.view.token}-{self.reservations}"
+        reservation = f"{self.view.fencing_token}-{self.reservations}"
         handle = offer.handle
 
         def settled(ok: bool, why: str) -> None:
@@ -217,7 +217,7 @@
             Edit(
                 job_key(handle.job),
                 change,
-                fencing_token=self.view.token,
+                fencing_token=self.view.fencing_token,
                 tag=TAG,
                 on_settled=settled,
             )
@@ -233,7 +233,7 @@
         queue = self.port.queue()
         pools = queue.pools
         shares = [self.config.guests.share * size for size in queue.sizes]
-        for job in self.view.guests.values():
+        for job in self.view.guest_jobs.values():
             left = job.spec.task_count - job.done_count
             found = pools.best(job.spec, left)
             if found is None or left <= 0:
@@ -253,10 +253,10 @@
 
     def fill(self, frame: Frame, cell: OtherCell) -> Frame:
         """Add what we are to the cell as the guest of its jobs."""
-        link = self.view.links.get(cell.name, CellLink())
+        link = self.view.cell_links.get(cell.name, CellLink())
         states = [
             self._state(name, job)
-            for name, job in self.view.guests.items()
+            for name, job in self.view.guest_jobs.items()
             if job.guest is not None and job.guest.home_cell == cell.name
         ]
         states += self._unknown(cell, {state.handle for state in states})
--- a/coursefold/cells/home.py
+++ b/coursefold/cells/home.py
@@ -63,14 +63,14 @@
 
     def observe(self) -> None:
         """Note the grants that the records show; on every controller, for it may lead next."""
-        for cell, link in self.view.links.items():
+        for cell, link in self.view.cell_links.items():
             known = self.seen.get(cell)
             if known is None or known.until != link.granted_until:
                 self.seen[cell] = SeenGrant(link.granted_until, self.ctx.now)
 
     def tick(self) -> None:
         """One round of the leader."""
-        for name, job in list(self.view.away.items()):
+        for name, job in list(self.view.delegated_jobs.items()):
             away = job.delegation
             if away is not None:
                 self._follow(name, job, away, Handle(name, away.epoch, away.reservation))
@@ -149,7 +149,7 @@
             self.counts["unanswered"] += 1
 
     def _grant(self, cell: OtherCell, name: JobId, handle: Handle) -> None:
-        link = self.view.links.get(cell.name, CellLink())
+        link = self.view.cell_links.get(cell.name, CellLink())
         left = link.granted_until - self.ctx.wall_time
         if not self.directory.is_reachable(cell.name) or left < GRANT_AT * link.granted_s:
             return  # the grant is renewed first; or the offer runs out
@@ -205,7 +205,7 @@
         Counted by the time of day, and by the steady clock since this process first saw the
         last grant's record, so that a clock that is set forwards takes nothing back early.
         """
-        link = self.view.links.get(cell)
+        link = self.view.cell_links.get(cell)
         seen = self.seen.get(cell)
         if link is None or seen is None or not link.granted_until:
             return True  # never was anything granted
@@ -223,7 +223,7 @@
         not hear would else keep our jobs for ever.
         """
         frame = cell.frame
-        link = self.view.links.get(cell.name, CellLink())
+        link = self.view.cell_links.get(cell.name, CellLink())
         if frame is None or not self.directory.is_reachable(cell.name):
             return
         stages = [
@@ -248,7 +248,7 @@
         return min(self.config.grant_s, longest_grant(self.ctx.settings, frame.lease_s))
 
     def _jobs_at(self, cell: str) -> dict[JobId, JobRecord]:
-        away = self.view.away.items()
+        away = self.view.delegated_jobs.items()
         return {
             name: job for name, job in away if job.delegation and job.delegation.guest_cell == cell
         }
@@ -293,7 +293,7 @@
         Seen: two cells that were both full exchanged their jobs, and a gang of two waited
         behind the other's own work for longer than it would have at home.
         """
-        stages = (job.guest.stage for job in self.view.guests.values() if job.guest)
+        stages = (job.guest.stage for job in self.view.guest_jobs.values() if job.guest)
         return any(stage in (GuestStage.RESERVED, GuestStage.GRANTED) for stage in stages)
 
     def _candidates(self, waiting: list[WaitingJob], pools: Pools) -> list[Candidate]:
@@ -326,7 +326,7 @@
             return False
         if wait.age < self.config.spill.after_s or len(job.done_ranges) > DONE_RANGES:
             return False
-        return wait.name in self.view.waiting and not self.port.is_writing(wait.name)
+        return wait.name in self.view.waiting_jobs and not self.port.is_writing(wait.name)
 
     def _avoid(self, job: JobRecord) -> str:
         """The cell that the job came back from a moment ago."""
@@ -346,7 +346,7 @@
             expected_home_s=round(choice.here_s, 1), expected_guest_s=round(choice.there_s, 1),
             why=choice.why,
         )  # fmt: skip
-        change = edits.offer(away, self.view.since(choice.name, job))
+        change = edits.offer(away, self.view.eligible_at(choice.name, job))
         if self.port.change_job(choice.name, change, f"cell{epoch}"):
             self.counts["offered"] += 1
             waits = f"expected wait here {choice.here_s:.0f} s, there {choice.there_s:.0f} s"
@@ -380,7 +380,7 @@
                 revoked.append(handle)
             else:
                 grants.append(handle)
-        link = self.view.links.get(cell.name, CellLink())
+        link = self.view.cell_links.get(cell.name, CellLink())
         return frame._replace(
             until=link.granted_until,
             grant_s=link.granted_s,
@@ -405,7 +405,7 @@
         )
 
     def _is_current(self, cell: str, handle: Handle) -> bool:
-        job = self.view.away.get(handle.job)
+        job = self.view.delegated_jobs.get(handle.job)
         away = job.delegation if job else None
         if away is None or (away.guest_cell, away.epoch) != (cell, handle.epoch):
             return False
--- a/coursefold/cells/port.py
+++ b/coursefold/cells/port.py
@@ -48,11 +48,11 @@
 
     def leads(self) -> bool:
         """May this controller decide for its cell, in the forms that cells need?"""
-        return self.ctx.is_leading() and self.view.level >= records.CELLS_LEVEL
+        return self.ctx.is_leading() and self.view.format_level >= records.CELLS_LEVEL
 
     def quota(self) -> QuotaTracker:
         """The teams' limits and what is used of them now."""
-        return QuotaTracker(self.ctx.settings.params.teams, self.view.usage)
+        return QuotaTracker(self.ctx.settings.params.teams, self.view.team_usage)
 
     def team_has_room(self, spec: Job, tasks: int) -> str:
         """Why this cell would not run a job of the team; empty if it would."""
@@ -108,16 +108,16 @@
 
     def is_idle(self) -> bool:
         """Is there room to write what is never urgent?"""
-        return self.core.queue.idle(self.ctx.now)
+        return self.core.queue.has_spare_rate(self.ctx.now)
 
     def is_unclear(self, name: JobId) -> bool:
         """Is there a record of the job that we can not read, or not yet?"""
         key = job_key(name)
-        return key in self.view.unreadable or self.view.incomplete(key)
+        return key in self.view.unreadable_keys or self.view.has_missing_parts(key)
 
     def is_writing(self, name: JobId) -> bool:
         """Is a change of the job's record under way?"""
-        return self.core.queue.busy(job_key(name))
+        return self.core.queue.is_busy(job_key(name))
 
     def about_to_be_placed(self) -> set[str]:
         """Jobs of which tasks get a place just now."""
@@ -127,7 +127,9 @@
         self, name: JobId, change: Change, tag: str, rank: int = NORMAL_PRIORITY
     ) -> bool:
         """Have a job's record changed; False while the same change is under way."""
-        edit = Edit(job_key(name), change, priority=rank, fencing_token=self.view.token, tag=tag)
+        edit = Edit(
+            job_key(name), change, priority=rank, fencing_token=self.view.fencing_token, tag=tag
+        )
         return self.core.queue.propose(edit)
 
     def propose(self, edit: Edit) -> bool:
@@ -136,5 +138,5 @@
 
     def change_link(self, cell: str, change: Change, tag: str) -> bool:
         """Have the record of what is granted to and by another cell changed."""
-        edit = Edit(cell_link_key(cell), change, fencing_token=self.view.token, tag=tag)
+        edit = Edit(cell_link_key(cell), change, fencing_token=self.view.fencing_token, tag=tag)
         return self.core.queue.propose(edit)
--- a/coursefold/cells/waits.py
+++ b/coursefold/cells/waits.py
@@ -42,7 +42,7 @@
         """Note the model's first word on a waiting job of which nothing has started."""
         job = self.view.jobs.get(name)
         if job is not None and name not in self.expected and not _has_started(job):
-            self.expected[name] = Expected(self.view.since(name, job), wall, seconds)
+            self.expected[name] = Expected(self.view.eligible_at(name, job), wall, seconds)
 
     def look(self, now: MonotonicTime, wall: float) -> None:
         """Note which of the jobs that waited have started."""
--- a/coursefold/coordination/cancellations.py
+++ b/coursefold/coordination/cancellations.py
@@ -46,9 +46,9 @@
     """Add the cancellations that the sibling may not know, by its last message, to `body`."""
     view = ctx.view
     peer = ctx.peers.get(member)
-    body.ledger, body.roster = view.ledger, view.token
+    body.ledger, body.roster = view.revision, view.fencing_token
     body.since = peer.revision if peer else 0
-    versions = [(view.stamp(job_key(name)), name) for name in view.cancelled]
+    versions = [(view.version_of(job_key(name)), name) for name in view.cancelled_jobs]
     unknown = sorted(((v, n) for v, n in versions if v > body.since), reverse=True)
     limit = max_cancellations_per_frame(ctx)
     if len(unknown) > limit:
@@ -66,7 +66,7 @@
     """
     state = ctx.settings.params.state
     silence = max(0.0, ctx.now - ctx.watch_ok_at)
-    latest = ctx.view.ledger + MAX_REVISIONS_AHEAD + int(4 * state.write_rps * (silence + 10.0))
+    latest = ctx.view.revision + MAX_REVISIONS_AHEAD + int(4 * state.write_rps * (silence + 10.0))
     return (
         len(message.jobs) <= max_cancellations_per_frame(ctx)
         and message.ledger <= latest
@@ -86,7 +86,7 @@
         message: The sibling's message.
         sent_at: The earliest local time at which the message may have been sent.
     """
-    if not ctx.view.loaded:
+    if not ctx.view.is_loaded:
         return
     if not _is_plausible(ctx, message):
         log.error("dropping implausible cancellations from member %s", peer.member)
@@ -94,14 +94,15 @@
     peer.revision, peer.roster_token = message.ledger, message.roster
     for item in message.jobs:
         name = JobId(item.job)
-        if item.stamp > max(ctx.view.ledger, ctx.peer_cancellations.get(name, 0)):
+        if item.stamp > max(ctx.view.revision, ctx.peer_cancellations.get(name, 0)):
             if name not in ctx.peer_cancellations:
                 ctx.new_peer_cancellations.append(name)
                 log.info("cancel %s: reported by %s, not in the own records yet", name, peer.member)
             ctx.peer_cancellations[name] = item.stamp
     if (
-        message.since <= ctx.view.ledger  # the own records have all that the message leaves out
-        and message.roster <= ctx.view.token  # else the machines may have another owner by now
+        message.since <= ctx.view.revision  # the own records have all that the message leaves out
+        and message.roster
+        <= ctx.view.fencing_token  # else the machines may have another owner by now
         and _is_known_process(ctx, peer)
     ):
         peer.cancellations_known_until = max(peer.cancellations_known_until, sent_at)
@@ -136,7 +137,9 @@
 
 def prune(ctx: Context) -> None:
     """Drop siblings' cancellations that the own records contain by now."""
-    for name in [n for n, version in ctx.peer_cancellations.items() if version <= ctx.view.ledger]:
+    for name in [
+        n for n, version in ctx.peer_cancellations.items() if version <= ctx.view.revision
+    ]:
         del ctx.peer_cancellations[name]
 
 
@@ -151,4 +154,4 @@
         return True
     if ctx.grants.has_job_grant_expired(job, ctx.now, ctx.wall_time):
         return True
-    return ctx.peer_cancellations.get(name, 0) > ctx.view.ledger
+    return ctx.peer_cancellations.get(name, 0) > ctx.view.revision
--- a/coursefold/coordination/commands.py
+++ b/coursefold/coordination/commands.py
@@ -38,7 +38,7 @@
         runs: list[Command] = []
         entries = {
             (job_id, entry.index): entry
-            for job_id, entry in ctx.view.on_machine(machine.id)
+            for job_id, entry in ctx.view.entries_on(machine.id)
             if entry.stage != ASSIGNED
         }
         for (name, index), task_report in machine.tasks.items():
@@ -178,7 +178,7 @@
         """
         ctx = self.ctx
         commands = []
-        for job_id, entry in ctx.view.on_machine(machine.id):
+        for job_id, entry in ctx.view.entries_on(machine.id):
             job = ctx.view.jobs[job_id]
             attempt_key = (job_id, entry.index, entry.attempt)
             listed = machine.tasks.get((job_id, entry.index))
--- a/coursefold/coordination/context.py
+++ b/coursefold/coordination/context.py
@@ -229,10 +229,10 @@
     def is_active(self) -> bool:
         """Return whether to decide: in the roster, lease valid, view recent enough."""
         return (
-            self.view.loaded
+            self.view.is_loaded
             # The response to this controller's own roster commit may arrive before the updates
             # on what former owners wrote earlier; until then the view is incomplete.
-            and self.view.ledger >= self.view.token
+            and self.view.revision >= self.view.fencing_token
             and self.now < self.lease_until
             and self.own_record() is not None
             and self.now - self.watch_ok_at < self.max_view_age_s()
@@ -267,10 +267,10 @@
     def owner_by_hash(self, machine: str, zone: str, roster: Roster) -> str | None:
         """Return the owner unless a handover has assigned another; cached for each roster."""
         if (
-            self._cached_owners_token != self.view.token
+            self._cached_owners_token != self.view.fencing_token
             or len(self._cached_owners) > MAX_CACHED_OWNERS
         ):
-            self._cached_owners, self._cached_owners_token = {}, self.view.token
+            self._cached_owners, self._cached_owners_token = {}, self.view.fencing_token
         owner = self._cached_owners.get(machine, "")
         if owner == "":
             owner = self._cached_owners[machine] = hash_owner(machine, zone, roster)
@@ -341,7 +341,7 @@
             machine.spot,
             self.own_name,
             machine.session,
-            self.view.load(machine.id),
+            self.view.load_of(machine.id),
             machine.cached_images,
         )
         capacity.is_unschedulable = machine.recall_at is not None or self.ownership.is_draining(
@@ -368,7 +368,7 @@
             self._add_peer_machines(available)
         for (name, index), (machine_id, spec) in self.placements_in_flight.items():
             # Counts on its new machine, not on the one in the record.
-            entry = self.view.entry(JobId(name), index)
+            entry = self.view.find_entry(JobId(name), index)
             if entry is not None:
                 if entry.machine == machine_id:
                     continue
@@ -382,7 +382,7 @@
         roster = self.view.roster
         if roster is None:
             return
-        load, max_age_s = self.view.load, min(3.0, self.max_report_age_s())
+        load, max_age_s = self.view.load_of, min(3.0, self.max_report_age_s())
         owner_of, find_type = self.owner_of, self.find_machine_type
         for peer in self.peers.values():
             if self.now - peer.last_frame_at > max_age_s:
--- a/coursefold/coordination/core.py
+++ b/coursefold/coordination/core.py
@@ -59,7 +59,9 @@
             txn_ops=state.txn_ops,
             value_kb=state.value_kb,
             write_rps=state.write_rps,
-            later=StateServiceLimits(later.txn_ops, int(later.value_kb * 1024), later.write_rps)
+            later_limits=StateServiceLimits(
+                later.txn_ops, int(later.value_kb * 1024), later.write_rps
+            )
             if state.next
             else None,
         )
@@ -88,11 +90,11 @@
         ctx = self.ctx
         ctx.now, ctx.wall_time = now, wall_time
         ctx.grants.observe(now)
-        self.queue.wall = wall_time
+        self.queue.wall_time = wall_time
         if ctx.started_at is None:
             ctx.started_at = now
-        if ctx.seen_token != self.view.token:
-            ctx.seen_token, ctx.token_seen_at = self.view.token, now
+        if ctx.seen_token != self.view.fencing_token:
+            ctx.seen_token, ctx.token_seen_at = self.view.fencing_token, now
         ctx.observe_handovers()
 
     def take_effects(self) -> list[Effect]:
@@ -111,7 +113,7 @@
         """Run one round of decisions; called after changes and at regular intervals."""
         ctx = self.ctx
         roster = self.view.roster
-        self.queue.share(ctx.is_leading(), len(roster.members) if roster else 1)
+        self.queue.set_rate_share(ctx.is_leading(), len(roster.members) if roster else 1)
         self.forwarding.tick()
         self.upgrade.tick()
         self.election.tick()
@@ -126,28 +128,30 @@
         if is_leading != self.was_leading:
             self.was_leading = is_leading
             log.info(
-                "%s, token %d", "leading" if is_leading else "no longer leading", self.view.token
+                "%s, token %d",
+                "leading" if is_leading else "no longer leading",
+                self.view.fencing_token,
             )
 
     def _move_endings(self) -> None:
         """Move endings to their permanent keys when nothing else is to be written."""
         ctx = self.ctx
-        endings = self.view.unswept
+        endings = self.view.endings_to_archive
         if (
             len(endings) < MOVED_ENDINGS_BATCH
             or not ctx.is_leading()
-            or not self.queue.idle(ctx.now)
+            or not self.queue.has_spare_rate(ctx.now)
         ):
             return
         # An ending that a live job names stays where controllers read it when they start.
-        is_named = self.view.needs.named
+        is_named = self.view.prerequisites.has_dependents
         for job_id in list(islice((e for e in endings if not is_named(e)), MOVED_ENDINGS_BATCH)):
             self.queue.propose(
                 Edit(
                     job_key(job_id),
                     jobs.move_ending(),
                     priority=LOW_PRIORITY,
-                    fencing_token=self.view.token,
+                    fencing_token=self.view.fencing_token,
                     tag="sweep",
                 )
             )
@@ -208,7 +212,7 @@
     def is_healthy(self) -> bool:
         """Return whether this controller can take requests."""
         return (
-            self.view.loaded
+            self.view.is_loaded
             and not self.requests.is_state_service_silent()
             and self.view.catalog is not None
         )
@@ -221,8 +225,8 @@
             "version": __version__,
             "leader": roster.leader if roster else None,
             "members": [m.name for m in roster.members] if roster else [],
-            "switched": self.view.level >= records.BASE_LEVEL,
-            "older": self.upgrade.controllers_without_version() if self.view.loaded else None,
+            "switched": self.view.format_level >= records.BASE_LEVEL,
+            "older": self.upgrade.controllers_without_version() if self.view.is_loaded else None,
         }
         for extension in self.extensions:
             health |= extension.health_status()
--- a/coursefold/coordination/election.py
+++ b/coursefold/coordination/election.py
@@ -93,7 +93,7 @@
     def tick(self) -> None:
         """Join, update the roster while leading, or take over if there is no leader."""
         ctx = self.ctx
-        if not ctx.view.loaded or not ctx.lease_id or ctx.now >= ctx.lease_until:
+        if not ctx.view.is_loaded or not ctx.lease_id or ctx.now >= ctx.lease_until:
             return
         own_record = ctx.view.members.get(ctx.own_name)
         if own_record is None or own_record.lease_id != ctx.lease_id:
@@ -140,12 +140,12 @@
         view = self.ctx.view
         # A member that the upgrade no longer waits for may return with an older version, and
         # must not become leader then.
-        closes_to_older_versions = bool(view.given_up) and roster.level < view.level
+        closes_to_older_versions = bool(view.ignored_members) and roster.level < view.format_level
         if closes_to_older_versions or (
             members != roster.members and self._may_commit_members(members, roster)
         ):
             why = "closed to older versions" if closes_to_older_versions else "membership changed"
-            self._commit_roster(Roster(self.ctx.own_name, members, view.level), why)
+            self._commit_roster(Roster(self.ctx.own_name, members, view.format_level), why)
 
     def _leader_is_live(self, roster: Roster) -> bool:
         """Return whether the leader is reachable and still the same incarnation with its lease."""
@@ -165,7 +165,7 @@
             members, roster
         ):
             self._commit_roster(
-                Roster(self.ctx.own_name, members, self.ctx.view.level), "no leader"
+                Roster(self.ctx.own_name, members, self.ctx.view.format_level), "no leader"
             )
 
     def _may_commit_members(self, members: list[MemberRecord], roster: Roster) -> bool:
@@ -196,7 +196,7 @@
 
         def key(member: MemberRecord) -> tuple[bool, bytes]:
             is_known = roster is not None and roster.find_member(member.name) == member
-            return (not is_known, rendezvous_weight(member.name, str(self.ctx.view.token)))
+            return (not is_known, rendezvous_weight(member.name, str(self.ctx.view.fencing_token)))
 
         candidates = sorted(members, key=key)
         return next(
@@ -228,10 +228,10 @@
 
     def _commit_roster(self, roster: Roster, why: str) -> None:
         ctx = self.ctx
-        seen_version = ctx.view.stamp(records.ROSTER_KEY)
+        seen_version = ctx.view.version_of(records.ROSTER_KEY)
 
         def change(current: Struct | None) -> EditResult:
-            if ctx.view.stamp(records.ROSTER_KEY) != seen_version:
+            if ctx.view.version_of(records.ROSTER_KEY) != seen_version:
                 raise NotApplicableError("roster moved on")
             return msgspec.structs.replace(roster)
 
--- a/coursefold/coordination/fleet.py
+++ b/coursefold/coordination/fleet.py
@@ -125,8 +125,8 @@
                 type_info.name, type_info.cpus, type_info.gpus, type_info.memory_gb,
                 type_info.price_per_hour, type_info.spot_price_per_hour,
             )  # fmt: skip
-        key = records.MACHINE_TYPES_KEY if self.ctx.view.level else records.CATALOG_KEY
-        fence = self.ctx.view.token
+        key = records.MACHINE_TYPES_KEY if self.ctx.view.format_level else records.CATALOG_KEY
+        fence = self.ctx.view.fencing_token
         self.ctx.queue.propose(
             Edit(key, change, fencing_token=fence, priority=LOW_PRIORITY, tag="catalog")
         )
@@ -153,7 +153,7 @@
         if not ctx.is_leading():
             self.leading_token = 0
             return
-        if self.leading_token != ctx.view.token:
+        if self.leading_token != ctx.view.fencing_token:
             self._begin_term()
         if ctx.view.catalog is None or ctx.now - self.catalog_read_at > CATALOG_INTERVAL_S:
             self.cloud.send(CloudOperation.CATALOG, {}, CatalogRequest())
@@ -176,7 +176,7 @@
         """Begin under a new fencing token; keep the fleet if this controller led until now."""
         if self.leading_token == 0 or not self.inventory.machines:
             self._reset()
-        self.leading_token = self.ctx.view.token
+        self.leading_token = self.ctx.view.fencing_token
         self.inventory.leading_since = self.ctx.now
         self.cloud.discard_pending()
         self.rentals.begin_term()
@@ -229,7 +229,7 @@
         The return is cancelled if the machine has got tasks meanwhile.
         """
         ctx = self.ctx
-        if ctx.view.on_machine(machine) or any(
+        if ctx.view.entries_on(machine) or any(
             target == machine for target, _ in ctx.placements_in_flight.values()
         ):
             self.inventory.returning.pop(machine, None)
--- a/coursefold/coordination/forward.py
+++ b/coursefold/coordination/forward.py
@@ -58,7 +58,7 @@
         if (
             peer is None
             or ctx.now - peer.last_frame_at > MAX_LEADER_SILENCE_S
-            or peer.token != ctx.view.token
+            or peer.token != ctx.view.fencing_token
         ):
             return None
         return roster.leader
@@ -73,12 +73,12 @@
         leader = self._reachable_leader()
         if leader is None:
             return ctx.queue.propose(edit)
-        if not ctx.queue.claim(edit):
+        if not ctx.queue.claim_tag(edit):
             return False
         self.last_proposal_id = max(self.last_proposal_id + 1, int(ctx.wall_time * 1000))
         proposal = peer_pb2.Proposal(
             id=self.last_proposal_id,
-            token=ctx.view.token,
+            token=ctx.view.fencing_token,
             job=job,
             kind=transition.kind,
             at=transition.created_at,
@@ -86,7 +86,7 @@
         for task in transition.tasks:
             proposal.tasks.add(**task._asdict())
         self.sent[self.last_proposal_id] = SentProposal(
-            edit, leader, ctx.view.token, ctx.now, proposal
+            edit, leader, ctx.view.fencing_token, ctx.now, proposal
         )
         self.frame_builders[leader].proposals.append(proposal)
         return True
@@ -105,7 +105,7 @@
         if self.received_outcomes:
             not_visible_yet = []
             for outcome in self.received_outcomes:
-                if outcome.ledger > ctx.view.ledger:
+                if outcome.ledger > ctx.view.revision:
                     not_visible_yet.append(outcome)  # settled once the view contains the edit
                     continue
                 sent = self.sent.pop(outcome.id, None)
@@ -116,12 +116,12 @@
             return
         leader = self._reachable_leader()
         for id, sent in list(self.sent.items()):
-            if sent.leader == leader and sent.token == ctx.view.token:
+            if sent.leader == leader and sent.token == ctx.view.fencing_token:
                 if ctx.now - sent.sent_at < OUTCOME_TIMEOUT_S:
                     continue
                 log.debug("no outcome of proposal %d from %s; queueing it here", id, sent.leader)
             del self.sent[id]
-            ctx.queue.release(sent.edit)
+            ctx.queue.release_tag(sent.edit)
             ctx.queue.propose(sent.edit)
 
     def receive_outcomes(self, received: list[peer_pb2.Outcome]) -> None:
@@ -148,7 +148,7 @@
                 sender,
                 item.at,
             )
-            if not ctx.is_leading() or item.token != ctx.view.token:
+            if not ctx.is_leading() or item.token != ctx.view.fencing_token:
                 self._add_outcome(sender, item.id, False, "not leading", 0)
                 continue
             if not is_job_id(item.job) or not transition.is_valid():
@@ -160,7 +160,7 @@
 
             def settled(ok: bool, why: str, id: int = item.id, job: JobId = job) -> None:
                 self.queued_proposals.discard((sender, id))
-                self._add_outcome(sender, id, ok, why, ctx.view.changed_at(job_key(job)))
+                self._add_outcome(sender, id, ok, why, ctx.view.last_change_version(job_key(job)))
 
             ctx.queue.propose(
                 Edit(
--- a/coursefold/coordination/grants.py
+++ b/coursefold/coordination/grants.py
@@ -36,7 +36,7 @@
 
     def observe(self, now: MonotonicTime) -> None:
         """Note when recorded grants were first seen; called whenever the core's time is set."""
-        for cell, link in self.view.links.items():
+        for cell, link in self.view.cell_links.items():
             known = self.seen_grants.get(cell)
             if known is None or known.held_until != link.held_until:
                 self.seen_grants[cell] = SeenGrant(link.held_until, now)
@@ -47,7 +47,7 @@
         By the steady clock the grant ends at the latest when its full duration has passed since
         it was first seen, even if the time of day was set back in the meantime.
         """
-        link = self.view.links.get(home)
+        link = self.view.cell_links.get(home)
         seen = self.seen_grants.get(home)
         if link is None or seen is None or wall_time >= link.held_until:
             return True
--- a/coursefold/coordination/inventory.py
+++ b/coursefold/coordination/inventory.py
@@ -197,7 +197,7 @@
         for peer in ctx.peers.values():
             if (
                 ctx.now - peer.last_frame_at > MAX_PEER_SUMMARY_AGE_S
-                or peer.token != ctx.view.token
+                or peer.token != ctx.view.fencing_token
             ):
                 continue
             if peer.is_complete:
@@ -238,7 +238,7 @@
         if (
             report.quarantined
             and not report.lease_expired
-            and not self.ctx.view.on_machine(machine.id)
+            and not self.ctx.view.entries_on(machine.id)
         ):
             # Only once it is empty: tasks that already run there, such as replicas, may well
             # continue without a fault, and a return would end them.
@@ -304,7 +304,7 @@
         ctx = self.ctx
         if not self.is_confirmation_period_over():
             return
-        for name in ctx.view.occupied():
+        for name in ctx.view.occupied_machines():
             report = reports.get(name)
             if report is not None and not (report.lease_expired and name not in self.machines):
                 # The owner receives its reports, or will prove from its silence that the tasks
@@ -314,7 +314,7 @@
                 # proof. Its tasks would keep their places for ever, and a gang would never
                 # start.
                 continue
-            placed = [e for _, e in ctx.view.on_machine(name) if e.stage != ASSIGNED]
+            placed = [e for _, e in ctx.view.entries_on(name) if e.stage != ASSIGNED]
             if not placed:
                 continue
             if ctx.owner_of(name, placed[0].zone) not in current_owners:
@@ -335,7 +335,7 @@
         minute. There is no delay where the return is needed to prove that tasks are gone.
         """
         lease_s = self.ctx.settings.params.workers.lease_s
-        has_tasks = bool(self.ctx.view.on_machine(machine.id))
+        has_tasks = bool(self.ctx.view.entries_on(machine.id))
         if machine.silent_s > lease_s * LEASE_DRIFT_FACTOR + 3.0 and has_tasks:
             self._schedule_return(machine, "silent, with tasks")
         elif machine.silent_s > lease_s + SILENT_RETENTION_S or machine.status == "failed":
@@ -361,18 +361,21 @@
         """Remove a machine that the list lacks; a return is to prove that its tasks are gone."""
         self.machines.pop(machine.id, None)
         self._record_loss(machine, not machine.lease_expired)
-        if self.ctx.view.on_machine(machine.id):
+        if self.ctx.view.entries_on(machine.id):
             self.returning.setdefault(machine.id, "lost, with tasks")
 
     def _record_tasks_gone(self, machine: str) -> None:
         """Write into the jobs' records that a machine's tasks are proven gone."""
         ctx = self.ctx
-        for job_id, entry in ctx.view.on_machine(machine):
+        for job_id, entry in ctx.view.entries_on(machine):
             if entry.stage == ASSIGNED:
                 continue
             change = jobs.mark_gone(entry.index, machine, entry.attempt)
             edit = Edit(
-                job_key(job_id), change, fencing_token=ctx.view.token, tag=f"gone{entry.index}"
+                job_key(job_id),
+                change,
+                fencing_token=ctx.view.fencing_token,
+                tag=f"gone{entry.index}",
             )
             ctx.queue.propose(edit)
 
--- a/coursefold/coordination/leader.py
+++ b/coursefold/coordination/leader.py
@@ -114,8 +114,8 @@
     def max_entries(self) -> int:
         """Return how many tasks at once the record of one job has room for."""
         queue = self.ctx.queue
-        if self.ctx.view.level:
-            return max(4, queue.limits.value_bytes * queue.most_parts() // PACKED_ENTRY_BYTES)
+        if self.ctx.view.format_level:
+            return max(4, queue.limits.value_bytes * queue.max_parts() // PACKED_ENTRY_BYTES)
         return max(4, int((queue.limits.value_bytes - RECORD_BYTES) / ENTRY_BYTES))
 
     def list_queued_jobs(self, quota: QuotaTracker) -> list[QueuedJob]:
@@ -140,9 +140,9 @@
         self.failed_searches = FailedSearches()
         self.smallest_failed_gangs = {}
         self.preemption.start_round()
-        quota = QuotaTracker(ctx.settings.params.teams, ctx.view.usage)
+        quota = QuotaTracker(ctx.settings.params.teams, ctx.view.team_usage)
         for (name, index), (_, spec) in ctx.placements_in_flight.items():
-            if ctx.view.entry(JobId(name), index) is None and JobId(name) in ctx.view.jobs:
+            if ctx.view.find_entry(JobId(name), index) is None and JobId(name) in ctx.view.jobs:
                 quota.add_usage(spec, 1)
         self.in_flight = {}
         for key, index in ctx.placements_in_flight:
@@ -264,7 +264,7 @@
             job = ctx.view.jobs.get(name)
             if (
                 job
-                and ctx.wall_time - ctx.view.since(name, job) > 5.0
+                and ctx.wall_time - ctx.view.eligible_at(name, job) > 5.0
                 and self.logged_reasons.get(name) != reason
             ):
                 log.info("job %s waits: %s", name, reason)
@@ -276,7 +276,7 @@
         """Return tasks to the queue that are assigned to owners no longer in the roster."""
         ctx = self.ctx
         roster = ctx.view.roster
-        for owner, assigned in ctx.view.dealt.items():
+        for owner, assigned in ctx.view.assigned_tasks.items():
             if roster is not None and roster.find_member(owner) is not None:
                 continue
             for (name, index), _ in assigned.items():
@@ -284,7 +284,7 @@
                     Edit(
                         job_key(name),
                         jobs.unassign(index, owner),
-                        fencing_token=ctx.view.token,
+                        fencing_token=ctx.view.fencing_token,
                         tag=f"undeal{index}",
                     )
                 )
@@ -295,13 +295,13 @@
         All controllers derive these endings from the records, so writing them is never urgent.
         """
         ctx = self.ctx
-        for name in islice(ctx.view.needs.doomed, MAX_DEPENDENT_ENDINGS):
+        for name in islice(ctx.view.prerequisites.cancelled, MAX_DEPENDENT_ENDINGS):
             ctx.queue.propose(
                 Edit(
                     job_key(name),
                     jobs.cancel_dependent(),
                     priority=LOW_PRIORITY,
-                    fencing_token=ctx.view.token,
+                    fencing_token=ctx.view.fencing_token,
                     tag="orphan",
                 )
             )
@@ -310,9 +310,9 @@
         """Record that all that the job needs is done, in the transaction of its first edit."""
         ctx = self.ctx
         if job.open_prerequisites:
-            change = jobs.clear_prerequisites(ctx.view.since(name, job))
+            change = jobs.clear_prerequisites(ctx.view.eligible_at(name, job))
             ctx.queue.propose(
-                Edit(job_key(name), change, fencing_token=ctx.view.token, tag="release")
+                Edit(job_key(name), change, fencing_token=ctx.view.fencing_token, tag="release")
             )
 
     def _count_tasks_by_zone(self, job: JobRecord) -> dict[str, int]:
@@ -466,7 +466,7 @@
         edit = Edit(
             job_key(name),
             jobs.assign(assignments),
-            fencing_token=ctx.view.token,
+            fencing_token=ctx.view.fencing_token,
             on_settled=on_settled,
         )
         ctx.queue.propose(edit)
@@ -480,7 +480,7 @@
             self.waiting_reasons[name] = "waiting for the former attempt's tasks to be gone"
             self._stop_attempt(name, job)
             return
-        if self.ctx.queue.busy(job_key(name)):
+        if self.ctx.queue.is_busy(job_key(name)):
             return
         if not quota.fits_limit(job.spec, job.spec.task_count):
             self.waiting_reasons[name] = quota.explain_refusal(job.spec)
@@ -567,7 +567,7 @@
         edit = Edit(
             job_key(name),
             jobs.place_gang(places),
-            fencing_token=ctx.view.token,
+            fencing_token=ctx.view.fencing_token,
             tag="gang",
             on_settled=on_settled,
         )
@@ -620,7 +620,7 @@
                 Edit(
                     job_key(name),
                     jobs.mark_stopping(None, attempt),
-                    fencing_token=self.ctx.view.token,
+                    fencing_token=self.ctx.view.fencing_token,
                     tag=f"end{attempt}",
                 )
             )
--- a/coursefold/coordination/owner.py
+++ b/coursefold/coordination/owner.py
@@ -57,7 +57,7 @@
         """
         ctx = self.ctx
         roster = ctx.view.roster
-        if roster is None or not ctx.view.loaded:
+        if roster is None or not ctx.view.is_loaded:
             self._refuse(ticket)
             return
         owner = ctx.owner_of(report.machine, report.zone)
@@ -213,7 +213,7 @@
                 log.debug(
                     "task %s#%d on %s runs", task_report.task, task_report.attempt, machine.id
                 )
-        if machine.tasks or ctx.view.on_machine(machine.id):
+        if machine.tasks or ctx.view.entries_on(machine.id):
             machine.idle_since = ctx.now
 
     # Own machines
@@ -221,7 +221,7 @@
     def tick(self) -> None:
         """Handle changed machines at once, and check all own machines twice a second."""
         ctx = self.ctx
-        changed_machines, ctx.view.moved = ctx.view.moved, {}
+        changed_machines, ctx.view.changed_machines = ctx.view.changed_machines, {}
         cancellations.prune(ctx)
         if not ctx.is_active():
             return
@@ -229,8 +229,11 @@
             machine = ctx.machines.get(machine_id)
             if machine is not None and not machine.lease_expired:
                 self.command_planner.send_stops(machine)
-        if ctx.now - self.scanned_at >= SCAN_INTERVAL_S or self.scanned_token != ctx.view.token:
-            self.scanned_at, self.scanned_token = ctx.now, ctx.view.token
+        if (
+            ctx.now - self.scanned_at >= SCAN_INTERVAL_S
+            or self.scanned_token != ctx.view.fencing_token
+        ):
+            self.scanned_at, self.scanned_token = ctx.now, ctx.view.fencing_token
             self._scan_machines()
         self.owner_placement.place_assigned_tasks()
 
@@ -260,7 +263,7 @@
             # at every check, so that half of the machines that were silent for a moment stay
             # marked, take no tasks from the leader, and are never returned.
             machine.unresponsive = ctx.now - machine.last_report_at > max_report_age_s
-            if silence_s > REMOVE_SILENT_S and not ctx.view.on_machine(machine.id):
+            if silence_s > REMOVE_SILENT_S and not ctx.view.entries_on(machine.id):
                 self.remove_machine(machine.id)
 
     def stop_peer_cancelled_tasks(self) -> None:
@@ -292,6 +295,6 @@
         ctx = self.ctx
         if machine.token != ctx.machine_token(machine.id):
             return
-        for job_id, entry in ctx.view.on_machine(machine.id):
+        for job_id, entry in ctx.view.entries_on(machine.id):
             if entry.stage != ASSIGNED:
                 self.command_planner.propose_gone(job_id, entry, machine)
--- a/coursefold/coordination/owner_placement.py
+++ b/coursefold/coordination/owner_placement.py
@@ -36,7 +36,7 @@
     def place_assigned_tasks(self) -> None:
         """Propose machines for assigned tasks; hand back those that fit nowhere for too long."""
         ctx = self.ctx
-        assigned = ctx.view.dealt.get(ctx.own_name)
+        assigned = ctx.view.assigned_tasks.get(ctx.own_name)
         if not assigned:
             self.unplaced_since.clear()
             return
@@ -92,7 +92,7 @@
         ctx = self.ctx
         in_flight: dict[str, list[Job]] = {}
         for (name, index), (machine, spec) in ctx.placements_in_flight.items():
-            entry = ctx.view.entry(JobId(name), index)
+            entry = ctx.view.find_entry(JobId(name), index)
             if entry is None or entry.machine != machine:
                 in_flight.setdefault(machine, []).append(spec)
         return in_flight
--- a/coursefold/coordination/ownership.py
+++ b/coursefold/coordination/ownership.py
@@ -57,9 +57,9 @@
 
     def observe_changes(self, now: MonotonicTime) -> list[str]:
         """Note changed records; return the machines whose fencing token has changed."""
-        if not self.view.ownership_changed:
+        if not self.view.ownership_changes:
             return []
-        changed, self.view.ownership_changed = self.view.ownership_changed, {}
+        changed, self.view.ownership_changes = self.view.ownership_changes, {}
         with_new_token: list[str] = []
         for machine in changed:
             record = self.view.ownership.get(machine)
@@ -67,7 +67,7 @@
             if record is None:
                 self.handovers.pop(machine, None)
             elif record.token and (known is None or known.token != record.token):
-                revision = self.view.stamp(ownership_key(machine))
+                revision = self.view.version_of(ownership_key(machine))
                 self.handovers[machine] = Handover(record.token, revision, now)
                 with_new_token.append(machine)
         return with_new_token
@@ -85,16 +85,20 @@
         return record.owner if is_member else None
 
     def _incarnation(self, member: str) -> int | None:
-        if self._incarnations_token != self.view.token:
+        if self._incarnations_token != self.view.fencing_token:
             roster = self.view.roster
             self._incarnations = {m.name: m.lease_id for m in roster.members} if roster else {}
-            self._incarnations_token = self.view.token
+            self._incarnations_token = self.view.fencing_token
         return self._incarnations.get(member)
 
     def token(self, machine: str) -> int:
         """Return the fencing token of a machine: the roster's, or that of a later handover."""
         record = self.view.ownership.get(machine)
-        return self.view.token if record is None else max(self.view.token, record.token)
+        return (
+            self.view.fencing_token
+            if record is None
+            else max(self.view.fencing_token, record.token)
+        )
 
     def seen_at(self, machine: str) -> MonotonicTime:
         """Return when this process first saw the machine's last handover; -inf if none."""
@@ -108,7 +112,7 @@
         wrote before the handover must be known too before any controller acts on it.
         """
         handover = self.handovers.get(machine)
-        return handover is not None and handover.revision > self.view.ledger
+        return handover is not None and handover.revision > self.view.revision
 
     def is_draining(self, machine: str, wall_time: WallTime) -> bool:
         """Return whether the machine is to be handed over and takes no new tasks.
@@ -134,8 +138,8 @@
         From now on this controller sends it no commands, and concludes nothing from its reports
         or its silence.
         """
-        version = self.view.stamp(ownership_key(machine))
-        self.releases[machine] = Release(version, self.view.token)
+        version = self.view.version_of(ownership_key(machine))
+        self.releases[machine] = Release(version, self.view.fencing_token)
 
     def is_released(self, machine: str) -> bool:
         """Return whether this controller has stopped acting for the machine.
@@ -147,7 +151,9 @@
         release = self.releases.get(machine)
         if release is None:
             return False
-        if release == Release(self.view.stamp(ownership_key(machine)), self.view.token):
+        if release == Release(
+            self.view.version_of(ownership_key(machine)), self.view.fencing_token
+        ):
             return True
         del self.releases[machine]
         return False
--- a/coursefold/coordination/placement.py
+++ b/coursefold/coordination/placement.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from coursefold.protocol.wire import Job, MachineType
-from coursefold.storage.view import EMPTY, Load
+from coursefold.storage.view import EMPTY_LOAD, MachineLoad
 
 RESOURCE_TOLERANCE = 1e-6  # CPUs, accelerators or GB; absorbs rounding errors of sums
 # Penalties for a job that may use spot machines on an ordinary machine:
@@ -84,18 +84,18 @@
         spot: bool,
         owner: str,
         session: int,
-        load: Load = EMPTY,
+        load: MachineLoad = EMPTY_LOAD,
         cached_images: Collection[str] = frozenset(),
     ) -> None:
         self.id, self.type_info, self.zone, self.spot = id, type_info, zone, spot
         self.owner, self.session = owner, session
         self.cpus = type_info.cpus - load.cpus
         self.gpus = type_info.gpus - load.gpus
-        self.memory_gb = type_info.memory_gb - load.memory
+        self.memory_gb = type_info.memory_gb - load.memory_gb
         self.cached_images = cached_images
-        self.task_images_gb = load.images  # shared with the load; copied on the first change
+        self.task_images_gb = load.images_gb  # shared with the load; copied on the first change
         self.task_count = len(load.specs)
-        self.replica_usage = load.lasting
+        self.replica_usage = load.replica_usage
         self.reserved_for_gang = False
         self.is_unschedulable = False
         self.has_protected_accelerators = False
--- a/coursefold/coordination/pools.py
+++ b/coursefold/coordination/pools.py
@@ -115,9 +115,13 @@
         ctx = self.ctx
         window_s = self.parameters.arrivals_window
         for name, job in ctx.view.jobs.items():
-            if name in self.recent_arrivals or ctx.view.needs.holds(name) or not job.may_start:
+            if (
+                name in self.recent_arrivals
+                or ctx.view.prerequisites.is_blocked(name)
+                or not job.may_start
+            ):
                 continue
-            arrived_at = ctx.view.since(name, job)
+            arrived_at = ctx.view.eligible_at(name, job)
             if ctx.wall_time - arrived_at < window_s:
                 self.recent_arrivals[name] = (arrived_at, job.spec)
         for job_name, (at, spec) in list(self.recent_arrivals.items()):
@@ -129,7 +133,7 @@
     def _list_unplaced(self) -> list[UnplacedTasks]:
         """Return the waiting tasks in queue order, within their teams' limits."""
         ctx = self.ctx
-        quota = QuotaTracker(ctx.settings.params.teams, ctx.view.usage)
+        quota = QuotaTracker(ctx.settings.params.teams, ctx.view.team_usage)
         unplaced_jobs: list[UnplacedTasks] = []
         for queued_job in self.leader.list_queued_jobs(quota):
             count = self._count_allowed(queued_job, quota)
@@ -158,10 +162,10 @@
         return count
 
     def _count_running(self, planner: DemandPlanner) -> None:
-        for name in self.ctx.view.occupied():
+        for name in self.ctx.view.occupied_machines():
             machine = self.inventory.machines.get(name)
             if machine is not None:
-                for spec in self.ctx.view.load(name).specs:
+                for spec in self.ctx.view.load_of(name).specs:
                     planner.count_running(spec, machine.pool)
 
     def current_and_booting_capacity(self) -> list[MachineCapacity]:
@@ -334,7 +338,7 @@
             and machine.id in capacities
             and capacities[machine.id].task_count == 0
             and ctx.now - capacities[machine.id].idle_since > self.parameters.idle
-            and not ctx.view.on_machine(machine.id)
+            and not ctx.view.entries_on(machine.id)
         ]
         spare.sort(key=lambda machine: capacities[machine.id].idle_since)
         for machine in spare[:max_count]:
--- a/coursefold/coordination/preemption.py
+++ b/coursefold/coordination/preemption.py
@@ -93,7 +93,7 @@
 
     def _get_lowest_priority(self, machine: MachineCapacity) -> int:
         """Return the least important priority on a machine, which is the highest number."""
-        return self.ctx.view.load(machine.id).lowest
+        return self.ctx.view.load_of(machine.id).lowest_priority
 
     def find_victims(
         self,
@@ -113,7 +113,7 @@
         ctx = self.ctx
         placed = [
             (name, entry, ctx.view.jobs[name])
-            for name, entry in ctx.view.on_machine(machine.id)
+            for name, entry in ctx.view.entries_on(machine.id)
             if (name, entry.index) not in ctx.placements_in_flight
         ]
         if any(entry.stage == STOPPING for _, entry, _ in placed):
@@ -236,7 +236,7 @@
                 Edit(
                     job_key(victim),
                     jobs.mark_stopping(entry.index, entry.attempt),
-                    fencing_token=ctx.view.token,
+                    fencing_token=ctx.view.fencing_token,
                     tag=f"stop{entry.index}",
                 )
             )
--- a/coursefold/coordination/rentals.py
+++ b/coursefold/coordination/rentals.py
@@ -78,7 +78,7 @@
 
     def has_pending_write(self, pool: PoolId) -> bool:
         """Return whether a change of the pool's record is not committed yet."""
-        return self.ctx.queue.busy(pool_key(str(pool)))
+        return self.ctx.queue.is_busy(pool_key(str(pool)))
 
     def rent(self, pool: PoolId, zone: str, count: int) -> None:
         """Record requests for machines in one zone; they are sent once they are committed."""
@@ -87,7 +87,7 @@
             request_count = min(count, MAX_MACHINES_PER_REQUEST)
             count -= request_count
             self.last_number += 1
-            name = f"r-{ctx.view.token}-{self.last_number}"
+            name = f"r-{ctx.view.fencing_token}-{self.last_number}"
             log.info(
                 "requesting %d machines of pool %s in zone %s (%s)", request_count, pool, zone, name
             )
@@ -177,7 +177,7 @@
         queue = self.ctx.queue
 
         def change(current: Struct | None) -> EditResult:
-            max_parts = queue.most_parts() if self.ctx.view.level else 1
+            max_parts = queue.max_parts() if self.ctx.view.format_level else 1
             max_bytes = queue.limits.value_bytes * max_parts - RECORD_RESERVE_BYTES
             record = current if isinstance(current, PoolRecord) else PoolRecord()
             rentals = [r for r in record.rentals if r.name != name]
@@ -197,4 +197,4 @@
                 rentals.remove(answered.pop(0))
             return msgspec.structs.replace(record, rentals=rentals)
 
-        queue.propose(Edit(pool_key(str(pool)), change, fencing_token=self.ctx.view.token))
+        queue.propose(Edit(pool_key(str(pool)), change, fencing_token=self.ctx.view.fencing_token))
--- a/coursefold/coordination/requests.py
+++ b/coursefold/coordination/requests.py
@@ -86,10 +86,10 @@
         Such an ending was moved to its final key just when the job that depends on it was
         accepted.
         """
-        if self.ctx.now - self.last_resolve_at < RESOLVE_INTERVAL_S or not self.view.loaded:
+        if self.ctx.now - self.last_resolve_at < RESOLVE_INTERVAL_S or not self.view.is_loaded:
             return
         self.last_resolve_at = self.ctx.now
-        for prerequisite in self.view.unresolved()[:MAX_RESOLVE_READS]:
+        for prerequisite in self.view.unresolved_prerequisites()[:MAX_RESOLVE_READS]:
             self.last_internal_ticket -= 1  # negative, unlike users' tickets
             self.pending[self.last_internal_ticket] = PendingRequest(
                 Purpose.RESOLVE, prerequisite, None
@@ -104,20 +104,23 @@
             log.info("submission refused: %s", error)
             self.ctx.effects.append(Response(ticket, 400, {"error": str(error)}))
             return
-        if not self.view.loaded or self.is_state_service_silent():
+        if not self.view.is_loaded or self.is_state_service_silent():
             self._answer_unavailable(ticket, "no state service", 2)
             return
         if self.view.catalog is None:
             self._answer_unavailable(ticket, "machine types are not known yet", 1)
             return
         rate = self.queue.limits.write_rps
-        if self.queue.urgent() > rate or len(self.queue.waiting) > MAX_BACKLOG_S * rate:
+        if (
+            self.queue.count_urgent_keys() > rate
+            or len(self.queue.waiting_edits) > MAX_BACKLOG_S * rate
+        ):
             self._answer_unavailable(ticket, "too many changes are waiting", 3)
             return
         if len(self.pending) > MAX_PENDING_REQUESTS:
             self._answer_unavailable(ticket, "too many requests", 2)
             return
-        if spec.prerequisites and self.view.level < records.BASE_LEVEL:
+        if spec.prerequisites and self.view.format_level < records.BASE_LEVEL:
             # A controller with an older version would drop the prerequisites from the record.
             self._answer_unavailable(ticket, "not every controller knows prerequisites yet", 2)
             return
@@ -137,7 +140,7 @@
         """
         view = self.view
         for prerequisite in map(JobId, spec.prerequisites or ()):
-            if view.fate(prerequisite) is not None:
+            if view.prerequisite_status(prerequisite) is not None:
                 continue
             if not view_refreshed:
                 # Another controller may have accepted the prerequisite a moment ago.
@@ -159,7 +162,7 @@
     def _has_unreadable_record(self, job: JobId) -> bool:
         """Return whether the job has a record that cannot be read, or is read only in part."""
         key = job_key(job)
-        return key in self.view.unreadable or self.view.incomplete(key)
+        return key in self.view.unreadable_keys or self.view.has_missing_parts(key)
 
     def _accept(self, spec: Job, ticket: int) -> None:
         def settled(ok: bool, reason: str) -> None:
@@ -172,7 +175,7 @@
                 self.ctx.effects.append(
                     Response(ticket, 201, {"NameId": spec.name, "Status": "pending"})
                 )
-            elif reason == "too large" and self.queue.later and not self.view.level:
+            elif reason == "too large" and self.queue.later_limits and not self.view.format_level:
                 self._answer_unavailable(
                     ticket, "no room for so long a description before the upgrade", 5
                 )
@@ -194,7 +197,9 @@
             # The size of a record is limited, so it cannot hold any number of unknown types.
             known = [t.name for t in catalog.machine_types if t.name in spec.machine_types]
             spec = msgspec.structs.replace(spec, machine_types=known)
-        fates = {name: self.view.fate(JobId(name)) for name in spec.prerequisites or ()}
+        fates = {
+            name: self.view.prerequisite_status(JobId(name)) for name in spec.prerequisites or ()
+        }
         job_change = jobs.accept(
             spec,
             self.ctx.wall_time,
@@ -250,7 +255,7 @@
                 continue
             job = request.job
             found = self.view.jobs.get(job) or self.view.endings.get(job)
-            stored = self.view.held.get(job_key(job))
+            stored = self.view.records_by_key.get(job_key(job))
             if found is None and stored is not None and isinstance(stored.record, Ending):
                 found = stored.record  # ended, but not moved to its final key yet
             if found is not None:
@@ -279,10 +284,10 @@
         if not is_job_id(job):
             self.ctx.effects.append(Response(ticket, 404, {"error": "no such job"}))
             return
-        if not self.view.loaded or self.is_state_service_silent():
+        if not self.view.is_loaded or self.is_state_service_silent():
             self._answer_unavailable(ticket, "no state service", 2)
             return
-        if JobId(job) in self.view.jobs and JobId(job) not in self.view.guests:
+        if JobId(job) in self.view.jobs and JobId(job) not in self.view.guest_jobs:
             self._cancel(job, ticket)
         else:
             self._request_fresh_state(ticket, Purpose.CANCEL, job, None)
@@ -314,7 +319,7 @@
         purpose, name, spec = request
         if purpose in (Purpose.NEED, Purpose.RESOLVE):
             if isinstance(found, Ending):
-                self.view.remember(records.ending_key(JobId(name)), found)
+                self.view.remember_ending(records.ending_key(JobId(name)), found)
                 if spec is not None:
                     self._admit(spec, ticket, view_refreshed=True)
             elif spec is not None:
@@ -342,7 +347,7 @@
         if purpose is Purpose.CANCEL and found.status == records.LIVE:
             self._cancel(name, ticket)
             return
-        has_cancelled_prerequisite = self.view.needs.is_doomed(JobId(name))
+        has_cancelled_prerequisite = self.view.prerequisites.is_cancelled(JobId(name))
         if (
             purpose is Purpose.OVER
             and found.status == records.LIVE
@@ -379,7 +384,7 @@
         status = records.STATUS_NAMES[job.status]
         if job.status == records.LIVE and (running or self._runs_in_other_cell(job)):
             status = "running"
-        if self.view.needs.is_doomed(JobId(name)):
+        if self.view.prerequisites.is_cancelled(JobId(name)):
             # A prerequisite was cancelled; the job's own ending is written later.
             status = records.STATUS_NAMES[records.CANCELLED]
         body: dict[str, Any] = {
@@ -405,12 +410,15 @@
         """
         if found.status != records.LIVE:
             return False
-        return any(self.view.fate(n) is None for n in self.view.needs.left.get(name, ()))
+        return any(
+            self.view.prerequisite_status(n) is None
+            for n in self.view.prerequisites.open_prerequisites.get(name, ())
+        )
 
     def _wait_reason(self, name: str) -> str:
         """Return why the job waits: its prerequisites, or else the reason that the leader gives."""
         ctx = self.ctx
-        unfinished = self.view.needs.left.get(JobId(name))
+        unfinished = self.view.prerequisites.open_prerequisites.get(JobId(name))
         if unfinished:
             more = (
                 f" and {len(unfinished) - MAX_NAMED_JOBS} more"
@@ -418,7 +426,7 @@
                 else ""
             )
             return f"waiting for {', '.join(islice(unfinished, MAX_NAMED_JOBS))}{more} to be done"
-        delegated_job = self.view.away.get(JobId(name))
+        delegated_job = self.view.delegated_jobs.get(JobId(name))
         if delegated_job is not None and delegated_job.delegation is not None:
             return describe_remote_placement(delegated_job.delegation, ctx.wall_time)
         reason = self._leader_reason(name)
--- a/coursefold/coordination/summary.py
+++ b/coursefold/coordination/summary.py
@@ -110,7 +110,7 @@
         for machine in ctx.machines.values():
             # A report that does not show the own fencing token may be a delayed old one.
             if machine.token_confirmed and ctx.owns(machine.id, machine.zone):
-                is_idle = not machine.tasks and not ctx.view.occupies(machine.id)
+                is_idle = not machine.tasks and not ctx.view.has_entries_on(machine.id)
                 rows[machine.id] = MachineRow(
                     machine.machine_type,
                     machine.zone,
@@ -208,13 +208,13 @@
         reasons: dict[JobId, str],
     ) -> None:
         ctx = self.ctx
-        body.token = ctx.view.token if ctx.is_active() else 0
+        body.token = ctx.view.fencing_token if ctx.is_active() else 0
         body.permit = ctx.lease_id
         body.state_age_s = max(0.0, ctx.now - ctx.state_ok_at)
         body.wanted.extend(sorted(requested_machines))
         body.complaints.extend(sorted(unreachable_for_workers))
         body.full, self.needs_full_summary = self.needs_full_summary, False
-        if ctx.view.loaded:
+        if ctx.view.is_loaded:
             cancellations.fill_message(ctx, self.member, body.cancellations)
         self._add_rows(body)
         if ctx.is_leading():
@@ -366,7 +366,11 @@
     for run in summary.finished:
         ctx.finished_runs.append((run.lane, run.seconds))
     roster = ctx.view.roster
-    if roster is not None and roster.leader == envelope.sender and summary.token == ctx.view.token:
+    if (
+        roster is not None
+        and roster.leader == envelope.sender
+        and summary.token == ctx.view.fencing_token
+    ):
         reserve_for_gang(ctx, peer.requested_machines)
 
 
--- a/coursefold/coordination/transitions.py
+++ b/coursefold/coordination/transitions.py
@@ -67,7 +67,7 @@
             job_key(job_id),
             transition.to_change(),
             priority=priority,
-            fencing_token=self.ctx.view.token,
+            fencing_token=self.ctx.view.fencing_token,
             tag=tag,
             on_settled=on_settled,
         )
--- a/coursefold/coordination/upgrade.py
+++ b/coursefold/coordination/upgrade.py
@@ -69,7 +69,7 @@
         The formats of a subsystem are used only from when every controller has its
         configuration file. From then on they are read and kept without that file, too.
         """
-        return max(self.required_level, min(self.ctx.view.level, records.NEWEST_LEVEL))
+        return max(self.required_level, min(self.ctx.view.format_level, records.NEWEST_LEVEL))
 
     def require_level(self, level: int) -> None:
         """Require a format level for an enabled subsystem; to be called before the first tick."""
@@ -79,7 +79,7 @@
         """Write this process's version record, in the transaction in which it joins."""
         ctx = self.ctx
         own_version = MemberVersion(self.target_level, ctx.lease_id)
-        if not ctx.lease_id or ctx.view.versions.get(ctx.own_name) == own_version:
+        if not ctx.lease_id or ctx.view.member_versions.get(ctx.own_name) == own_version:
             return
 
         def change(current: Struct | None) -> EditResult:
@@ -96,14 +96,14 @@
         Before the switch every process can.
         """
         ctx = self.ctx
-        if not ctx.view.level:
+        if not ctx.view.format_level:
             return True
-        return self._shown_level(member) >= ctx.view.level
+        return self._shown_level(member) >= ctx.view.format_level
 
     def _shown_level(self, member: str) -> int:
         """Return the format level of a live member's process, 0 for one of an older version."""
         live = self.ctx.view.members.get(member)
-        known = self.ctx.view.versions.get(member)
+        known = self.ctx.view.member_versions.get(member)
         return known.level if live and known and known.lease_id == live.lease_id else 0
 
     def controllers_without_version(self) -> list[str]:
@@ -115,14 +115,14 @@
             if (
                 self._shown_level(name) < self.target_level
                 if name in view.members
-                else name not in view.versions
+                else name not in view.member_versions
             )
         ]
 
     def tick(self) -> None:
         """Publish the own version, check the others' versions, and switch while leading."""
         ctx = self.ctx
-        if not ctx.view.loaded or not ctx.lease_id or ctx.now >= ctx.lease_until:
+        if not ctx.view.is_loaded or not ctx.lease_id or ctx.now >= ctx.lease_until:
             return
         self.announce_version()
         if ctx.now - self.last_check_at < CHECK_INTERVAL_S:
@@ -133,7 +133,7 @@
             self.unchecked_keys = None
             return
         self._remove_stale_versions()
-        if ctx.view.level < self.target_level:
+        if ctx.view.format_level < self.target_level:
             self._commit_level()
         else:
             self._migrate_records()
@@ -150,14 +150,14 @@
             else:
                 self.absent_since.setdefault(name, ctx.now)
         without_version = self.controllers_without_version()
-        if without_version != self.last_reported and ctx.view.level < self.target_level:
+        if without_version != self.last_reported and ctx.view.format_level < self.target_level:
             self.last_reported = without_version
             log.info("controllers without this version: %s", ", ".join(without_version) or "none")
 
     def _remove_stale_versions(self) -> None:
         """Remove version records of controllers that returned with an older version."""
         ctx = self.ctx
-        for name, known in list(ctx.view.versions.items()):
+        for name, known in list(ctx.view.member_versions.items()):
             live = ctx.view.members.get(name)
             if live is None or live.lease_id == known.lease_id:
                 self.stale_since.pop(name, None)
@@ -171,7 +171,9 @@
                 raise NotApplicableError("changed")
             return DeleteKey()
 
-        self.ctx.queue.propose(Edit(key, change, fencing_token=self.ctx.view.token, tag="remove"))
+        self.ctx.queue.propose(
+            Edit(key, change, fencing_token=self.ctx.view.fencing_token, tag="remove")
+        )
 
     def _commit_level(self) -> None:
         ctx = self.ctx
@@ -192,7 +194,7 @@
             records.FORMAT_LEVEL_KEY,
             change,
             priority=HIGH_PRIORITY,
-            fencing_token=ctx.view.token,
+            fencing_token=ctx.view.fencing_token,
             tag="switch",
         )
         if ctx.queue.propose(edit):
@@ -208,25 +210,27 @@
         ctx = self.ctx
         view = ctx.view
         machine_types = view.catalog
-        if machine_types is not None and records.MACHINE_TYPES_KEY not in view.held:
+        if machine_types is not None and records.MACHINE_TYPES_KEY not in view.records_by_key:
             self._rewrite(records.MACHINE_TYPES_KEY, machine_types)
-        elif (old := view.held.get(records.CATALOG_KEY)) is not None:
+        elif (old := view.records_by_key.get(records.CATALOG_KEY)) is not None:
             self._remove(records.CATALOG_KEY, old.record)
         if self.unchecked_keys is None:
             self.unchecked_keys = [
-                k for k in view.held if k.startswith((records.JOB_PREFIX, records.POOL_PREFIX))
+                k
+                for k in view.records_by_key
+                if k.startswith((records.JOB_PREFIX, records.POOL_PREFIX))
             ]
         checked_keys, self.unchecked_keys = (
             self.unchecked_keys[:RECORDS_PER_CHECK],
             self.unchecked_keys[RECORDS_PER_CHECK:],
         )
         for key in checked_keys:
-            stored = view.held.get(key)
+            stored = view.records_by_key.get(key)
             if stored is None or not isinstance(stored.record, JobRecord | PoolRecord):
                 continue
-            value = codec.encode_record(stored.record, view.level)
+            value = codec.encode_record(stored.record, view.format_level)
             if (
-                key not in view.spread
+                key not in view.part_counts
                 and codec.json_size_bytes(value) > ctx.queue.limits.value_bytes
             ):
                 self._rewrite(key, None)
@@ -245,6 +249,10 @@
             return current or if_absent  # type: ignore[return-value]
 
         edit = Edit(
-            key, change, priority=LOW_PRIORITY, fencing_token=self.ctx.view.token, tag="rewrite"
+            key,
+            change,
+            priority=LOW_PRIORITY,
+            fencing_token=self.ctx.view.fencing_token,
+            tag="rewrite",
         )
         self.ctx.queue.propose(edit)
--- a/coursefold/coordination/urgency.py
+++ b/coursefold/coordination/urgency.py
@@ -45,11 +45,11 @@
 
     def get_effective_priority(self, name: JobId, job: JobRecord) -> EffectivePriority:
         """Return priority and deadline of a job, with those of the jobs that need it."""
-        needs = self.ctx.view.needs
+        needs = self.ctx.view.prerequisites
         if needs.version != self.cache_version or self.ctx.now - self.cached_at > CACHE_S:
             self.cache.clear()
             self.cache_version, self.cached_at = needs.version, self.ctx.now
-        if name not in needs.by:
+        if name not in needs.dependents:
             return self._get_own_priority(job)
         return self._inherit_priority(name)
 
@@ -79,7 +79,11 @@
             if name in self.cache:
                 stack.pop()
                 continue
-            dependents = [j for j in view.needs.by.get(name, ()) if not view.needs.is_doomed(j)]
+            dependents = [
+                j
+                for j in view.prerequisites.dependents.get(name, ())
+                if not view.prerequisites.is_cancelled(j)
+            ]
             missing = [j for j in dependents if j not in self.cache]
             if missing:
                 stack.extend(missing)
--- a/coursefold/coordination/waiting.py
+++ b/coursefold/coordination/waiting.py
@@ -87,7 +87,7 @@
         ctx = self.ctx
         found = []
         self.longest_waiting_gang = self._find_longest_waiting_gang()
-        for name, job in ctx.view.waiting.items():
+        for name, job in ctx.view.waiting_jobs.items():
             if job.retry_at > ctx.wall_time:
                 reasons[name] = "its tasks failed; it is tried again later"
                 continue
@@ -97,7 +97,7 @@
             tasks = job.spec.task_count if job.spec.kind != "array" else 1
             is_within_guarantee = quota.is_within_guarantee(job.spec, tasks)
             run_s = self.mean_run_s(job.spec)
-            since = ctx.view.since(name, job)
+            since = ctx.view.eligible_at(name, job)
             priority, deadline_at = self.priority_inheritance.get_effective_priority(name, job)
             sort_key = self.queue_order.make_key(
                 job.spec,
@@ -118,8 +118,8 @@
     def _find_longest_waiting_gang(self) -> JobId | None:
         """Return the gang that has waited longest, if it has waited for over `LONG_WAIT_S`."""
         gangs = [
-            (self.ctx.view.since(name, job), name)
-            for name, job in self.ctx.view.waiting.items()
+            (self.ctx.view.eligible_at(name, job), name)
+            for name, job in self.ctx.view.waiting_jobs.items()
             if job.spec.kind == "ensemble" and job.retry_at <= self.ctx.wall_time
         ]
         since, name = min(gangs, default=(self.ctx.wall_time, None))
--- a/coursefold/service.py
+++ b/coursefold/service.py
@@ -22,7 +22,7 @@
 from coursefold.protocol.ids import JobId, MonotonicTime, WallTime
 from coursefold.protocol.wire import DirectCommands, KeyRow, WatchResponse, encode
 from coursefold.settings import Settings
-from coursefold.storage import codec, records, spreading
+from coursefold.storage import codec, record_parts, records
 from coursefold.storage.batches import Batch
 from coursefold.storage.records import Ending, ending_key
 from coursefold.transport.http_client import HttpClient, NoAnswerError
@@ -171,8 +171,8 @@
             elif isinstance(effect, NotifyPeers):
                 for member in effect.members:
                     self.links[member].wake.set()
-        if self.core.queue.fresh:
-            self.core.queue.fresh = False
+        if self.core.queue.has_new_edits:
+            self.core.queue.has_new_edits = False
             self.wake.set()
 
     def _changed(self) -> None:
@@ -349,10 +349,10 @@
         self._enter()
         for item in news.updates:
             if item.set_key is not None:
-                view.put(item.set_key, item.value, item.version)
+                view.apply_value(item.set_key, item.value, item.version)
             elif item.removed_key is not None:
-                view.drop(item.removed_key, item.version)
-        view.ledger = max(view.ledger, news.revision)
+                view.apply_removal(item.removed_key, item.version)
+        view.revision = max(view.revision, news.revision)
         ctx.watch_ok_at = max(ctx.watch_ok_at, sent)
         if news.updates:
             self._changed()
@@ -383,7 +383,7 @@
         """All changes that the view does not show yet; tried again when over the rate."""
         for attempt in range(4):
             try:
-                news = await self.state.follow(records.ROOT, self.core.view.ledger, 0)
+                news = await self.state.follow(records.ROOT, self.core.view.revision, 0)
                 if news is not None:
                     return news
                 raise UnavailableError("the view is too old", 0)
@@ -404,7 +404,7 @@
         queue = self.core.queue
         while True:
             try:
-                async with asyncio.timeout(0.1 if queue.waiting else 1.0):
+                async with asyncio.timeout(0.1 if queue.waiting_edits else 1.0):
                     await self.wake.wait()
             except TimeoutError:
                 pass
@@ -429,24 +429,24 @@
             outcome = await self.state.commit(batch.body)
             self._enter()
             if outcome.ok:
-                queue.applied(batch, outcome.ledger)
+                queue.handle_success(batch, outcome.ledger)
             elif outcome.malformed:
                 if outcome.no_lease:
                     self.core.ctx.lease_id = 0  # get a new one
-                    queue.lease_gone(batch)
+                    queue.handle_lost_lease(batch)
                 else:
-                    queue.invalid(batch)
+                    queue.handle_invalid(batch)
             else:
-                queue.conflicted(batch, outcome.failed)
+                queue.handle_conflict(batch, outcome.failed)
         except UnavailableError as wrong:
             self._enter()
             log.debug("commit: %s", wrong)
             if wrong.status == 429:
-                queue.slower()
+                queue.handle_rate_refusal()
             if wrong.status in (429, 503):
-                queue.refused(batch, now(), jitter(0.25))
+                queue.handle_refusal(batch, now(), jitter(0.25))
             else:
-                queue.unknown(batch, now(), jitter(0.3))
+                queue.handle_missing_response(batch, now(), jitter(0.3))
         finally:
             self.flying -= 1
         self.wake.set()
@@ -461,29 +461,29 @@
             if row is not None:
                 parts: list[KeyRow] = []
                 if isinstance(row.value, dict):
-                    parts, _ = await self.state.rows(spreading.parts_prefix(key))
+                    parts, _ = await self.state.rows(record_parts.part_key_prefix(key))
                 self._enter()
-                view.put(key, row.value, row.version)
+                view.apply_value(key, row.value, row.version)
                 for part in parts:
-                    view.put(part.key, part.value, part.version)
+                    view.apply_value(part.key, part.value, part.version)
                 # Parts of a later Stamp belong to a newer head: it has to be read again.
-                if not view.incomplete(key):
-                    queue.refreshed(key)
+                if not view.has_missing_parts(key):
+                    queue.mark_refreshed(key)
             elif key.startswith(records.JOB_PREFIX):
                 ended = await self.state.get(
                     key.replace(records.JOB_PREFIX, records.ENDING_PREFIX, 1)
                 )
                 self._enter()
                 if ended is not None:
-                    view.drop(key, ended.version)
-                    queue.over(key)
+                    view.apply_removal(key, ended.version)
+                    queue.settle_ended_job(key)
                 else:
-                    queue.refreshed(key)
+                    queue.mark_refreshed(key)
             else:
                 self._enter()
-                known = view.stamp(key)
-                view.drop(key, known)
-                queue.refreshed(key)
+                known = view.version_of(key)
+                view.apply_removal(key, known)
+                queue.mark_refreshed(key)
         except UnavailableError as wrong:
             log.debug("read: %s", wrong)
             return False
--- a/coursefold/shares/commands.py
+++ b/coursefold/shares/commands.py
@@ -197,7 +197,7 @@
 
     def _end_moves(self, chosen: Callable[[MachineOwnership], bool]) -> list[str]:
         """Withdraw the moves that are chosen; their machines."""
-        found = {m: r for m, r in self.port.view.moves_under_way.items() if chosen(r)}
+        found = {m: r for m, r in self.port.view.moves_in_progress.items() if chosen(r)}
         for machine, record in found.items():
             self.planner.end(machine, record, "withdrawn by an operator")
         return sorted(found)
--- a/coursefold/shares/durations.py
+++ b/coursefold/shares/durations.py
@@ -31,10 +31,10 @@
             self.handed_over_at.clear()
             return
         for machine, known in list(self.under_way.items()):
-            if machine not in port.view.moves_under_way:
+            if machine not in port.view.moves_in_progress:
                 del self.under_way[machine]
                 self._note_handover(machine, known)
-        for machine, record in port.view.moves_under_way.items():
+        for machine, record in port.view.moves_in_progress.items():
             self.under_way[machine] = UnderWay(record.epoch, record.stage_started_at)
         for machine, at in list(self.handed_over_at.items()):
             if port.is_leaving(machine):
--- a/coursefold/shares/handover.py
+++ b/coursefold/shares/handover.py
@@ -27,7 +27,7 @@
         self.waiting.clear()
         if not port.is_active():
             return
-        for machine, record in list(port.view.moves_under_way.items()):
+        for machine, record in list(port.view.moves_in_progress.items()):
             if self._is_ours(machine, record):
                 why = self._why_not_yet(machine, record)
                 if why:
@@ -41,7 +41,7 @@
         port = self.port
         return (
             record.source == port.ctx.own_name
-            and record.roster_token == port.view.token
+            and record.roster_token == port.view.fencing_token
             and port.ctx.wall_time < record.expires_at
         )
 
@@ -64,7 +64,7 @@
         if not port.ownership.is_released(machine):
             port.ownership.release(machine)
             log.info("move %d: hand %s over to %s", record.epoch, machine, record.target)
-        stamp = port.view.stamp(ownership_key(machine))
+        stamp = port.view.version_of(ownership_key(machine))
         incarnation = port.incarnation(record.target)
         change = hand_over(record, stamp, incarnation, port.ctx.wall_time)
         port.change_ownership(machine, change, f"hand over {stamp}")
@@ -75,7 +75,7 @@
         draining = [
             machine
             for machine in self.waiting
-            if port.view.moves_under_way[machine].mode == MoveMode.DRAIN
+            if port.view.moves_in_progress[machine].mode == MoveMode.DRAIN
         ]
         if not draining or port.ctx.now - self.drained_at < DRAIN_EVERY_S:
             return
--- a/coursefold/shares/planner.py
+++ b/coursefold/shares/planner.py
@@ -79,8 +79,8 @@
         if not port.leads():
             self.led_token = 0
             return
-        if self.led_token != port.view.token:
-            self.led_token = port.view.token
+        if self.led_token != port.view.fencing_token:
+            self.led_token = port.view.fencing_token
             self.paused.clear()
         self._end_moves()
         if port.ctx.now - self.planned_at < PLAN_EVERY_S:
@@ -95,13 +95,13 @@
     def _end_moves(self) -> None:
         """Withdraw moves that can not, or no longer should, come to their handover."""
         port = self.port
-        for machine, record in list(port.view.moves_under_way.items()):
+        for machine, record in list(port.view.moves_in_progress.items()):
             why = self._why_to_end(machine, record)
             if why:
                 self.end(machine, record, why)
-            elif record.roster_token != port.view.token:
-                change = renew(record, port.view.token)
-                port.change_ownership(machine, change, f"renew {port.view.token}")
+            elif record.roster_token != port.view.fencing_token:
+                change = renew(record, port.view.fencing_token)
+                port.change_ownership(machine, change, f"renew {port.view.fencing_token}")
 
     def _yield_to_waiting(self) -> None:
         """Give machines back to jobs that have waited for long and would fit there.
@@ -113,7 +113,7 @@
         wall = self.port.ctx.wall_time
         moving = {
             machine: record
-            for machine, record in self.port.view.moves_under_way.items()
+            for machine, record in self.port.view.moves_in_progress.items()
             if wall - record.stage_started_at >= LONGEST_HELD_S
         }
         if not moving:
@@ -172,7 +172,7 @@
         if not plan.rules:
             return
         states = port.machines()
-        under_way = port.view.moves_under_way
+        under_way = port.view.moves_in_progress
         wanted: list[tuple[Transfer, list[MachineState], Scope]] = []
         for scope, rules in plan.rules.items():
             members = within(scope, states)
@@ -207,7 +207,7 @@
 
     def owned(self, states: Iterable[MachineState]) -> Counter[str]:
         """Machines by owner, those on their way counted where they go."""
-        under_way = self.port.view.moves_under_way
+        under_way = self.port.view.moves_in_progress
         return Counter(under_way[s.id].target if s.id in under_way else s.owner for s in states)
 
     def _request_all(
@@ -218,7 +218,7 @@
         An epoch is a revision that nobody has used: a round that finds the records as they
         were in the last one waits for them to change.
         """
-        epoch = self.port.view.ledger
+        epoch = self.port.view.revision
         if epoch <= self.last_epoch:
             return
         for transfer, members, scope in wanted:
@@ -233,7 +233,7 @@
         port = self.port
         ended = 0
         for state in members:
-            record = port.view.moves_under_way.get(state.id)
+            record = port.view.moves_in_progress.get(state.id)
             if record is None or ended >= transfer.machines:
                 continue
             if (record.source, record.target) == (transfer.target, transfer.source):
@@ -255,7 +255,7 @@
             for state in members
             if state.owner == transfer.source
             and not state.obstacle
-            and state.id not in port.view.moves_under_way
+            and state.id not in port.view.moves_in_progress
             and self.paused.get(state.id, port.ctx.now) <= port.ctx.now
         ]
         found.sort(key=lambda s: (s.zone not in near, s.tasks, s.id))
@@ -272,7 +272,7 @@
             mode, why = asked.request.mode, asked.why
         until = wall + self.limits.limit_s
         move = Move(state.id, transfer.source, transfer.target, epoch, mode, until, why)
-        change = request(move, port.view.token, wall)
+        change = request(move, port.view.fencing_token, wall)
         if port.change_ownership(state.id, change, "request"):
             self.budget.spend(port.ctx.now, 1)
             self.outcomes["requested"] += 1
@@ -296,6 +296,8 @@
                 port.is_gone(machine) and port.ctx.wall_time - record.stage_started_at > GONE_FOR_S
             )
             # Its token must not fall: only a later roster's can stand for it.
-            says_nothing = record.token < port.view.token and port.is_owned_by_hash(machine, record)
+            says_nothing = record.token < port.view.fencing_token and port.is_owned_by_hash(
+                machine, record
+            )
             if is_gone or says_nothing:
                 port.change_ownership(machine, forget(record), "forget", rank=LOW_PRIORITY)
--- a/coursefold/shares/port.py
+++ b/coursefold/shares/port.py
@@ -54,11 +54,11 @@
 
     def is_active(self) -> bool:
         """May this controller decide for its machines, in the forms that shares need?"""
-        return self.ctx.is_active() and self.view.level >= records.SHARES_LEVEL
+        return self.ctx.is_active() and self.view.format_level >= records.SHARES_LEVEL
 
     def leads(self) -> bool:
         """May this controller decide for all of them?"""
-        return self.ctx.is_leading() and self.view.level >= records.SHARES_LEVEL
+        return self.ctx.is_leading() and self.view.format_level >= records.SHARES_LEVEL
 
     def leader(self) -> str:
         """The controller that leads, as far as is known."""
@@ -95,7 +95,7 @@
         return (
             peer is not None
             and self.ctx.now - peer.last_frame_at <= HEARD_S
-            and peer.token == self.view.token
+            and peer.token == self.view.fencing_token
             and peer.state_age_s <= STATE_HEARD_S
         )
 
@@ -143,7 +143,7 @@
         return (
             self.core.fleet.lists_read > 1
             and machine not in inventory.machines
-            and not self.view.occupies(machine)
+            and not self.view.has_entries_on(machine)
         )
 
     def is_owned_by_hash(self, machine: str, record: MachineOwnership) -> bool:
@@ -167,7 +167,10 @@
         return peer.machines.get(machine)
 
     def _is_current(self, peer: PeerView) -> bool:
-        return self.ctx.now - peer.last_frame_at <= REPORTED_S and peer.token == self.view.token
+        return (
+            self.ctx.now - peer.last_frame_at <= REPORTED_S
+            and peer.token == self.view.fencing_token
+        )
 
     def _obstacle(self, row: Machine | PeerMachine) -> str:
         if row.quarantined:
@@ -192,7 +195,7 @@
             self.view.jobs[name].spec
             for name in core.leader.jobs_without_capacity
             if name in self.view.jobs
-            and wall - self.view.since(name, self.view.jobs[name]) > LONGEST_WAIT_S
+            and wall - self.view.eligible_at(name, self.view.jobs[name]) > LONGEST_WAIT_S
         ]
         if not waiting:
             return set()
@@ -220,7 +223,7 @@
             (JobId(job), number) for (job, number), item in own.tasks.items()
             if item.state != "exited"
         }  # fmt: skip
-        placed = {(job, entry.index) for job, entry in self.view.on_machine(machine)}
+        placed = {(job, entry.index) for job, entry in self.view.entries_on(machine)}
         if len(own.tasks) != len(listed) or not listed <= placed:
             return "a task's end is not written yet"
         return self._obstacle(own)
@@ -229,7 +232,7 @@
         """Tasks that have to end before a handover: all but replicas that stay where they are."""
         own = self.ctx.machines.get(machine)
         found = []
-        for job_id, entry in self.view.on_machine(machine):
+        for job_id, entry in self.view.entries_on(machine):
             if entry.stage == ASSIGNED:
                 continue  # only a hint; its owner finds another machine
             is_service = self.view.jobs[job_id].spec.kind == "standing"
@@ -242,7 +245,7 @@
     def _ending_tasks(self, machine: str) -> int:
         return sum(
             entry.stage != ASSIGNED and self.view.jobs[job_id].spec.kind != "standing"
-            for job_id, entry in self.view.on_machine(machine)
+            for job_id, entry in self.view.entries_on(machine)
         )
 
     def can_save(self, job: JobRecord, entry: TaskEntry) -> bool:
@@ -279,7 +282,11 @@
     ) -> bool:
         """Have a machine's record changed; False while the same change is under way."""
         edit = Edit(
-            ownership_key(machine), change, priority=rank, fencing_token=self.view.token, tag=tag
+            ownership_key(machine),
+            change,
+            priority=rank,
+            fencing_token=self.view.fencing_token,
+            tag=tag,
         )
         return self.core.queue.propose(edit)
 
@@ -293,18 +300,23 @@
                 self.answer(ticket, 503, {"error": f"not written: {why}"}, retry_after=1)
 
         edit = Edit(
-            share_request_key(request), change, fencing_token=self.view.token, on_settled=settled
+            share_request_key(request),
+            change,
+            fencing_token=self.view.fencing_token,
+            on_settled=settled,
         )
         self.core.queue.propose(edit)
 
     def forget_request(self, request: str, change: Change) -> None:
         """Have the record of a request that is over removed."""
-        edit = Edit(share_request_key(request), change, fencing_token=self.view.token, tag="forget")
+        edit = Edit(
+            share_request_key(request), change, fencing_token=self.view.fencing_token, tag="forget"
+        )
         self.core.queue.propose(edit)
 
     def is_idle(self) -> bool:
         """Is there room to write what is never urgent?"""
-        return self.core.queue.idle(self.ctx.now)
+        return self.core.queue.has_spare_rate(self.ctx.now)
 
     def answer(
         self, ticket: int, status: int, body: dict[str, Any], retry_after: int | None = None
--- a/coursefold/shares/shares.py
+++ b/coursefold/shares/shares.py
@@ -46,7 +46,7 @@
         requests = sorted(self.port.view.share_requests.items())
         return {
             "shares": {
-                "on": self.port.view.level >= records.SHARES_LEVEL,
+                "on": self.port.view.format_level >= records.SHARES_LEVEL,
                 "leads": self.port.leads(),
                 "window": window.name if window else "",
                 "scopes": self._scopes(),
@@ -82,7 +82,7 @@
     def _moves(self) -> list[dict[str, Any]]:
         """Moves under way, the oldest first; why not yet is known to the old owner alone."""
         under_way = sorted(
-            self.port.view.moves_under_way.items(), key=lambda item: item[1].stage_started_at
+            self.port.view.moves_in_progress.items(), key=lambda item: item[1].stage_started_at
         )
         return [
             {
--- a/coursefold/storage/queue.py
+++ b/coursefold/storage/queue.py
@@ -20,8 +20,8 @@
 from msgspec import Struct
 
 from coursefold.protocol.ids import MonotonicTime
-from coursefold.storage import codec, records, spreading
-from coursefold.storage.batches import Batch, Draft
+from coursefold.storage import codec, record_parts, records
+from coursefold.storage.batches import Batch, BatchBuilder
 from coursefold.storage.edits import (
     HIGH_PRIORITY,
     ArchiveEnding,
@@ -36,8 +36,8 @@
 
 log = logging.getLogger(__name__)
 
-MOST_CONFLICTS = 8  # of one edit; then its proposer looks at the record anew
-MOST_TRIES = 1000  # refusals and missing answers included: minutes of an outage
+MAX_CONFLICTS = 8  # of one edit; then its proposer looks at the record anew
+MAX_TRIES = 1000  # refusals and missing answers included: minutes of an outage
 
 
 class CommitQueue:
@@ -50,76 +50,85 @@
         txn_ops: int,
         value_kb: float,
         write_rps: float,
-        later: StateServiceLimits | None = None,
+        later_limits: StateServiceLimits | None = None,
     ) -> None:
         self.view = view
         self.limits = StateServiceLimits(txn_ops, int(value_kb * 1024), write_rps)
-        self.later = later
-        self.parked: dict[str, list[Edit]] = {}
-        self.wall = 0.0
-        self.waiting: dict[str, list[Edit]] = {}
-        self.flying: set[str] = set()
+        self.later_limits = later_limits
+        self.oversized_edits: dict[str, list[Edit]] = {}
+        self.wall_time = 0.0
+        self.waiting_edits: dict[str, list[Edit]] = {}
+        self.in_flight: set[str] = set()
         self.stale: set[str] = set()
         # The service counts all nodes' changes together. Leases, accepts and cancellations
         # have a budget of their own, so that no backlog of other work delays them.
-        self.first = TokenBucket(write_rps * 0.5, max(2.0, write_rps * 0.5))
-        self.budget = TokenBucket(write_rps * 0.8, max(2.0, write_rps * 0.6))
-        self.pause_until = MonotonicTime(0.0)
-        self.tags: set[tuple[str, str]] = set()
-        self.fresh = False  # something was proposed since the last look
+        self.priority_budget = TokenBucket(write_rps * 0.5, max(2.0, write_rps * 0.5))
+        self.bulk_budget = TokenBucket(write_rps * 0.8, max(2.0, write_rps * 0.6))
+        self.paused_until = MonotonicTime(0.0)
+        self.pending_tags: set[tuple[str, str]] = set()
+        self.has_new_edits = False  # something was proposed since the last look
 
-    def share(self, leading: bool, nodes: int) -> None:
+    def set_rate_share(self, is_leader: bool, controller_count: int) -> None:
         """Our part of the rate: the leader writes for all, others little but accepts."""
-        others = min(0.12, 0.3 / max(1, nodes - 1))
-        part = 0.85 - others * (nodes - 1) if leading else others
+        others = min(0.12, 0.3 / max(1, controller_count - 1))
+        part = 0.85 - others * (controller_count - 1) if is_leader else others
         rate = self.limits.write_rps
-        self.budget.rate = rate * part
-        self.budget.burst = max(3.0, rate * part * 0.6)
-        self.first.rate = rate * 0.5
-        self.first.burst = max(2.0, rate * 0.5)
-        if self.view.level:
-            self._lower(sizes=True)  # what is written from the switch on fits either way
-            for key in list(self.parked):
-                self.waiting[key] = [*self.parked.pop(key), *self.waiting.get(key, [])]
-
-    def _lower(self, *, sizes: bool = False, rate: bool = False) -> None:
+        self.bulk_budget.rate = rate * part
+        self.bulk_budget.burst = max(3.0, rate * part * 0.6)
+        self.priority_budget.rate = rate * 0.5
+        self.priority_budget.burst = max(2.0, rate * 0.5)
+        if self.view.format_level:
+            self._apply_later_limits(
+                sizes=True
+            )  # what is written from the switch on fits either way
+            for key in list(self.oversized_edits):
+                self.waiting_edits[key] = [
+                    *self.oversized_edits.pop(key),
+                    *self.waiting_edits.get(key, []),
+                ]
+
+    def _apply_later_limits(self, *, sizes: bool = False, rate: bool = False) -> None:
         """Take the limits to come, or a part of them, if there are any."""
-        if self.later is None:
+        if self.later_limits is None:
             return
         now = self.limits
         if sizes:
-            now = now._replace(txn_ops=self.later.txn_ops, value_bytes=self.later.value_bytes)
+            now = now._replace(
+                txn_ops=self.later_limits.txn_ops, value_bytes=self.later_limits.value_bytes
+            )
         if rate:
-            now = now._replace(write_rps=self.later.write_rps)
+            now = now._replace(write_rps=self.later_limits.write_rps)
         if now != self.limits:
             self.limits = now
             log.info("limits of the state service: %s", now)
 
-    def most_parts(self) -> int:
+    def max_parts(self) -> int:
         """Keys of one record; some are left for what has to go with it."""
         return max(1, min(self.limits.txn_ops - 1, 16))
 
-    def idle(self, now: MonotonicTime) -> bool:
+    def has_spare_rate(self, now: MonotonicTime) -> bool:
         """True if there is room for what is never urgent."""
-        return not self.waiting and self.budget.refill(now) >= 0.95 * self.budget.burst
+        return (
+            not self.waiting_edits and self.bulk_budget.refill(now) >= 0.95 * self.bulk_budget.burst
+        )
 
-    def urgent(self) -> int:
+    def count_urgent_keys(self) -> int:
         """Keys that wait with acceptances, cancellations or what membership needs."""
         return sum(
-            any(e.priority == HIGH_PRIORITY for e in edits) for edits in self.waiting.values()
+            any(e.priority == HIGH_PRIORITY for e in edits) for edits in self.waiting_edits.values()
         )
 
-    def claim(self, edit: Edit) -> bool:
+    def claim_tag(self, edit: Edit) -> bool:
         """Reserve an edit's tag while it is under way elsewhere."""
         if edit.tag:
-            if (edit.key, edit.tag) in self.tags:
+            if (edit.key, edit.tag) in self.pending_tags:
                 return False
-            self.tags.add((edit.key, edit.tag))
+            self.pending_tags.add((edit.key, edit.tag))
         return True
 
-    def release(self, edit: Edit) -> None:
+    def release_tag(self, edit: Edit) -> None:
         """It is not under way elsewhere any more."""
-        self.tags.discard((edit.key, edit.tag))
+        self.pending_tags.discard((edit.key, edit.tag))
 
     def settle(self, edit: Edit, ok: bool, why: str) -> None:
         """What became of a claimed edit elsewhere."""
@@ -127,30 +136,30 @@
 
     def propose(self, edit: Edit) -> bool:
         """Queue an edit; False if one with the same tag waits already."""
-        if not self.claim(edit):
+        if not self.claim_tag(edit):
             return False
-        self.waiting.setdefault(edit.key, []).append(edit)
-        self.fresh = True
+        self.waiting_edits.setdefault(edit.key, []).append(edit)
+        self.has_new_edits = True
         return True
 
-    def busy(self, key: str) -> bool:
+    def is_busy(self, key: str) -> bool:
         """True while edits of the key wait or fly."""
-        return key in self.waiting or key in self.flying
+        return key in self.waiting_edits or key in self.in_flight
 
     def _settle(self, edit: Edit, ok: bool, why: str = "") -> None:
         if edit.tag:
-            self.tags.discard((edit.key, edit.tag))
+            self.pending_tags.discard((edit.key, edit.tag))
         edit.settle(ok, why)
 
     def stale_keys(self) -> list[str]:
         """Keys to be read again before they can be written."""
         return sorted(self.stale)
 
-    def refreshed(self, key: str) -> None:
+    def mark_refreshed(self, key: str) -> None:
         """The key was read again."""
         self.stale.discard(key)
 
-    def _build(
+    def _build_result(
         self, key: str, edits: list[Edit], one_by_one: bool = False
     ) -> tuple[list[Edit], EditResult | None]:
         """Apply a key's edits to its record; those that do not apply are settled.
@@ -159,9 +168,9 @@
         for the outcome: a second cancellation must not be answered "cancelled"
         before the first one is written.
         """
-        held = self.view.held.get(key)
+        held = self.view.records_by_key.get(key)
         before: Struct | None = held.record if held else None
-        if key in self.view.unreadable:
+        if key in self.view.unreadable_keys:
             # Whatever it is, it is not ours to overwrite.
             for edit in edits:
                 self._settle(edit, False, "unreadable")
@@ -174,30 +183,30 @@
             if isinstance(result, (ArchiveEnding, DeleteKey, records.Ending)):
                 deferred.append(edit)
                 continue
-            outcome = self._apply(edit, current, deferred if kept else None)
+            outcome = self._apply_edit(edit, current, deferred if kept else None)
             if outcome is None:
                 continue
-            if one_by_one and self._too_large(outcome):
-                self._put_aside(edit, before, outcome)
+            if one_by_one and self._is_too_large(outcome):
+                self._set_aside(edit, before, outcome)
                 continue
-            if isinstance(outcome, records.Ending) and self.view.level:
-                outcome = msgspec.structs.replace(outcome, ended_at=round(self.wall, 1))
+            if isinstance(outcome, records.Ending) and self.view.format_level:
+                outcome = msgspec.structs.replace(outcome, ended_at=round(self.wall_time, 1))
             result = outcome
             if isinstance(outcome, Struct):
                 current = outcome
             kept.append(edit)
-        if not one_by_one and self._too_large(result):
+        if not one_by_one and self._is_too_large(result):
             # Rare: find out which edits fit. Measuring after each one costs too much.
-            return self._build(key, [*kept, *deferred], one_by_one=True)
+            return self._build_result(key, [*kept, *deferred], one_by_one=True)
         if deferred:
-            self.waiting[key] = deferred
+            self.waiting_edits[key] = deferred
         return kept, result
 
-    def _apply(
+    def _apply_edit(
         self, edit: Edit, current: Struct | None, deferred: list[Edit] | None
     ) -> EditResult | None:
         """An edit's outcome; None if it does not apply, and is settled or, if it may, deferred."""
-        if edit.fencing_token is not None and edit.fencing_token != self.view.token:
+        if edit.fencing_token is not None and edit.fencing_token != self.view.fencing_token:
             self._settle(edit, False, "fenced")
             return None
         try:
@@ -209,25 +218,27 @@
                 self._settle(edit, False, str(why) or "void")
             return None
 
-    def _put_aside(self, edit: Edit, before: Struct | None, outcome: EditResult) -> None:
+    def _set_aside(self, edit: Edit, before: Struct | None, outcome: EditResult) -> None:
         """An edit whose record is too large: it waits if it makes the record smaller."""
-        if self._shrinks(before, outcome):
-            self.parked.setdefault(edit.key, []).append(edit)
+        if self._is_not_larger(before, outcome):
+            self.oversized_edits.setdefault(edit.key, []).append(edit)
         else:
             self._settle(edit, False, "too large")
 
-    def _too_large(self, result: EditResult | None) -> bool:
+    def _is_too_large(self, result: EditResult | None) -> bool:
         """True if the record cannot be written within the service's limits."""
         if not isinstance(result, (JobRecord, records.PoolRecord)):
             return False
-        value = codec.encode_record(result, self.view.level)
+        value = codec.encode_record(result, self.view.format_level)
         if codec.json_size_bytes(value) <= self.limits.value_bytes:
             return False
-        if not self.view.level:
+        if not self.view.format_level:
             return True
-        return len(spreading.spread(value, self.limits.value_bytes).parts) >= self.most_parts()
+        return (
+            len(record_parts.split_value(value, self.limits.value_bytes).parts) >= self.max_parts()
+        )
 
-    def _shrinks(self, before: Struct | None, result: EditResult) -> bool:
+    def _is_not_larger(self, before: Struct | None, result: EditResult) -> bool:
         """Does an edit make a record smaller that is too large as it is?
 
         It must not get lost: the task that it says has ended would stay for ever.
@@ -241,92 +252,92 @@
 
     def next_batch(self, now: MonotonicTime) -> Batch | None:
         """The next transaction, or None if nothing can go now."""
-        if now < self.pause_until or not self.waiting:
+        if now < self.paused_until or not self.waiting_edits:
             return None
-        ready = [k for k in self.waiting if k not in self.flying and k not in self.stale]
+        ready = [k for k in self.waiting_edits if k not in self.in_flight and k not in self.stale]
         if not ready:
             return None
-        bulk = int(self.budget.refill(now))
-        urgent = max(bulk, int(self.first.refill(now)))
+        bulk = int(self.bulk_budget.refill(now))
+        urgent = max(bulk, int(self.priority_budget.refill(now)))
         if urgent < 1:
             return None  # before a long backlog is sorted for nothing
-        ranks = {k: min(e.priority for e in self.waiting[k]) for k in ready}
+        ranks = {k: min(e.priority for e in self.waiting_edits[k]) for k in ready}
         ready.sort(key=ranks.__getitem__)
-        draft = Draft(self.view, self.limits)
+        draft = BatchBuilder(self.view, self.limits)
         for key in ready:
             room = urgent if ranks[key] == HIGH_PRIORITY else bulk
-            if not draft.has_room(room):
+            if not draft.may_add_key(room):
                 break
-            if draft.goes_with(self.waiting[key]) and not self._add(draft, key):
+            if draft.has_same_fencing(self.waiting_edits[key]) and not self._add_key(draft, key):
                 break
         if not draft.writes:
             return None
         first = sum(1 for key in draft.results if ranks[key] == HIGH_PRIORITY)
-        self.first.spend(now, min(first, self.first.available))
-        self.budget.spend(now, len(draft.writes) - min(first, len(draft.writes)))
-        self.flying.update(draft.results)
-        return draft.batch()
+        self.priority_budget.spend(now, min(first, self.priority_budget.available))
+        self.bulk_budget.spend(now, len(draft.writes) - min(first, len(draft.writes)))
+        self.in_flight.update(draft.results)
+        return draft.build()
 
-    def _add(self, draft: Draft, key: str) -> bool:
+    def _add_key(self, draft: BatchBuilder, key: str) -> bool:
         """Add a key's edits to a transaction; False if it is full."""
-        edits, result = self._build(key, self.waiting.pop(key))
+        edits, result = self._build_result(key, self.waiting_edits.pop(key))
         if result is None:
             return True
-        change = draft.change_of(key, result, edits[-1].lease_id)
-        if draft.takes(change):
+        change = draft.make_change(key, result, edits[-1].lease_id)
+        if draft.fits(change):
             draft.add(key, edits, result, change)
             return True
-        self.waiting[key] = [*edits, *self.waiting.get(key, [])]
-        return not draft.is_too_heavy(change)  # something smaller may still fit
+        self.waiting_edits[key] = [*edits, *self.waiting_edits.get(key, [])]
+        return not draft.exceeds_size(change)  # something smaller may still fit
 
-    def applied(self, batch: Batch, ledger: int) -> None:
+    def handle_success(self, batch: Batch, ledger: int) -> None:
         """The transaction was carried out at this revision."""
         for key, result in batch.results.items():
-            self.flying.discard(key)
+            self.in_flight.discard(key)
             if isinstance(result, (DeleteKey, ArchiveEnding)):
-                self.view.drop(key, ledger)
+                self.view.apply_removal(key, ledger)
                 if isinstance(result, ArchiveEnding):
-                    self.view.remember(key, result.ending)
-            elif ledger > self.view.stamp(key):
-                self.view.keep(key, result, ledger, batch.parts.get(key, 0))
+                    self.view.remember_ending(key, result.ending)
+            elif ledger > self.view.version_of(key):
+                self.view.store_record(key, result, ledger, batch.part_counts.get(key, 0))
         for edit in batch.edits:
             self._settle(edit, True)
 
-    def conflicted(self, batch: Batch, failed: list[str]) -> None:
+    def handle_conflict(self, batch: Batch, failed: list[str]) -> None:
         """Nothing was carried out: read the failed keys again, then try the edits again."""
         self.stale.update(k.replace(records.ENDING_PREFIX, records.JOB_PREFIX, 1) for k in failed)
         for edit in batch.edits:
             edit.conflict_count += 1
-        self._again(batch)
+        self._retry(batch)
 
-    def refused(self, batch: Batch, now: MonotonicTime, pause: float) -> None:
+    def handle_refusal(self, batch: Batch, now: MonotonicTime, pause: float) -> None:
         """Nothing was carried out (429, 503): the same again after a pause."""
-        self.pause_until = MonotonicTime(now + pause)
-        self._again(batch)
+        self.paused_until = MonotonicTime(now + pause)
+        self._retry(batch)
 
-    def unknown(self, batch: Batch, now: MonotonicTime, pause: float) -> None:
+    def handle_missing_response(self, batch: Batch, now: MonotonicTime, pause: float) -> None:
         """No answer: it may have been carried out, or may yet be; read again first."""
         self.stale.update(batch.results)
-        self.pause_until = MonotonicTime(now + pause)
-        self._again(batch)
+        self.paused_until = MonotonicTime(now + pause)
+        self._retry(batch)
 
-    def slower(self) -> None:
+    def handle_rate_refusal(self) -> None:
         """Over the rate (429): after the switch the lower one may have come.
 
         Before it, a burst of our own is the likelier cause.
         """
-        if self.view.level:
-            self._lower(rate=True)
+        if self.view.format_level:
+            self._apply_later_limits(rate=True)
 
-    def _beyond(self, batch: Batch, limits: StateServiceLimits) -> bool:
+    def _exceeds(self, batch: Batch, limits: StateServiceLimits) -> bool:
         """Would this transaction be too much under these limits?"""
-        return batch.writes > limits.txn_ops or any(
+        return batch.write_count > limits.txn_ops or any(
             codec.json_size_bytes(op["Value"]) > limits.value_bytes
             for op in batch.body["Then"]
             if "Value" in op
         )
 
-    def lease_gone(self, batch: Batch) -> None:
+    def handle_lost_lease(self, batch: Batch) -> None:
         """Refused because our lease has ended: that says nothing of the other edits.
 
         Seen in a drawn day of the tests: an acceptance that shared the transaction in which
@@ -336,52 +347,52 @@
             if edit.lease_id is not None:
                 self._settle(edit, False, "refused")
         rest = [edit for edit in batch.edits if edit.lease_id is None]
-        self._again(batch._replace(edits=rest))
+        self._retry(batch._replace(edits=rest))
 
-    def invalid(self, batch: Batch) -> None:
+    def handle_invalid(self, batch: Batch) -> None:
         """Refused as malformed: nothing was carried out, and the same would fare no better.
 
         What is beyond the limits to come shows that they have come: its edits are formed
         anew. All else is settled, and so is what was formed under these very limits.
         """
-        if self.later is not None and self._beyond(batch, self.later):
-            self._lower(sizes=True, rate=True)
+        if self.later_limits is not None and self._exceeds(batch, self.later_limits):
+            self._apply_later_limits(sizes=True, rate=True)
             if batch.limits != self.limits:
-                self._again(batch)
+                self._retry(batch)
                 return
         for key in batch.results:
-            self.flying.discard(key)
+            self.in_flight.discard(key)
         self.stale.update(batch.results)
         for edit in batch.edits:
             self._settle(edit, False, "refused")
 
-    def _again(self, batch: Batch) -> None:
+    def _retry(self, batch: Batch) -> None:
         """Try edits again, but for those that met too many conflicts, or that nothing helps."""
         for key in batch.results:
-            self.flying.discard(key)
+            self.in_flight.discard(key)
         for edit in reversed(batch.edits):
             edit.try_count += 1
-            if edit.conflict_count > MOST_CONFLICTS or edit.try_count > MOST_TRIES:
+            if edit.conflict_count > MAX_CONFLICTS or edit.try_count > MAX_TRIES:
                 self._settle(edit, False, "conflicts")
             else:
-                self.waiting.setdefault(edit.key, []).insert(0, edit)
+                self.waiting_edits.setdefault(edit.key, []).insert(0, edit)
 
-    def over(self, key: str) -> None:
+    def settle_ended_job(self, key: str) -> None:
         """The key's job has an ending: nothing waiting for it applies any more."""
         self.stale.discard(key)
-        for edit in self.waiting.pop(key, []):
+        for edit in self.waiting_edits.pop(key, []):
             self._settle(edit, False, "over")
 
-    def abandon(self, edit_done: Callable[[Edit], bool]) -> None:
+    def abandon_edits(self, is_abandoned: Callable[[Edit], bool]) -> None:
         """Settle the waiting edits that the caller no longer wants."""
-        for key in list(self.waiting):
+        for key in list(self.waiting_edits):
             keep = []
-            for edit in self.waiting[key]:
-                if edit_done(edit):
+            for edit in self.waiting_edits[key]:
+                if is_abandoned(edit):
                     self._settle(edit, False, "abandoned")
                 else:
                     keep.append(edit)
             if keep:
-                self.waiting[key] = keep
+                self.waiting_edits[key] = keep
             else:
-                del self.waiting[key]
+                del self.waiting_edits[key]
--- a/coursefold/storage/spreading.py
+++ b/coursefold/storage/record_parts.py
@@ -17,25 +17,25 @@
 from coursefold.storage.records import PART_PREFIX, ROOT
 
 
-class Spread(NamedTuple):
+class SplitValue(NamedTuple):
     """A value laid over several keys: the record's own, and its parts in order."""
 
     head: Any
     parts: list[str]
 
 
-FRAME = 40  # a head's own bytes around its text
-UNPACKED = 8 * 1024 * 1024
+HEAD_OVERHEAD_BYTES = 40  # a head's own bytes around its text
+MAX_UNPACKED_BYTES = 8 * 1024 * 1024
 
 
-class Packed(Struct, frozen=True, forbid_unknown_fields=True):
+class SplitHead(Struct, frozen=True, forbid_unknown_fields=True):
     """The head of a record too large for one value: how many parts follow, and the first text."""
 
     parts: int
     text: str
 
 
-def spread(value: Any, limit: int) -> Spread:
+def split_value(value: Any, limit: int) -> SplitValue:
     """A value as it is written within `limit` bytes a key.
 
     One that fits stays as it is, for people to read. A larger one is compressed (a
@@ -44,28 +44,30 @@
     belong together.
     """
     if json_size_bytes(value) <= limit:
-        return Spread(value, [])
+        return SplitValue(value, [])
     text = base64.b64encode(zlib.compress(msgspec.msgpack.encode(value), 6)).decode()
-    room = limit - FRAME
+    room = limit - HEAD_OVERHEAD_BYTES
     cut = [text[at : at + room] for at in range(0, len(text), room)]
-    return Spread({"parts": len(cut) - 1, "text": cut[0]}, cut[1:])
+    return SplitValue({"parts": len(cut) - 1, "text": cut[0]}, cut[1:])
 
 
-def packed(value: Any) -> Packed | None:
+def parse_head(value: Any) -> SplitHead | None:
     """The head of a record that is laid over several keys, or None for a plain value."""
     if not isinstance(value, dict) or "parts" not in value:
         return None
     try:
-        return msgspec.convert(value, Packed)
+        return msgspec.convert(value, SplitHead)
     except msgspec.ValidationError as wrong:
         raise ValueError(str(wrong)) from None
 
 
-def join(texts: list[str]) -> Any:
+def join_parts(texts: list[str]) -> Any:
     """A spread value put together again; ValueError if it is damaged."""
     try:
         unpacker = zlib.decompressobj()
-        raw = unpacker.decompress(base64.b64decode("".join(texts), validate=True), UNPACKED)
+        raw = unpacker.decompress(
+            base64.b64decode("".join(texts), validate=True), MAX_UNPACKED_BYTES
+        )
         if not unpacker.eof:
             raise ValueError("cut short or too large")
         return msgspec.msgpack.decode(raw)
@@ -78,7 +80,7 @@
     return Key(f"{PART_PREFIX}{key.removeprefix(ROOT)}/{number}")
 
 
-def parts_prefix(key: str) -> str:
+def part_key_prefix(key: str) -> str:
     """What the keys of all parts of a record begin with."""
     return f"{PART_PREFIX}{key.removeprefix(ROOT)}/"
 
--- a/coursefold/storage/records.py
+++ b/coursefold/storage/records.py
@@ -5,7 +5,7 @@
 
 Forms that version 0.1 cannot read are written only once every controller can
 (`Level`): an ending's time, the roster's second form, and records too large for
-one value, which are compressed and laid over several keys (`spreading`).
+one value, which are compressed and laid over several keys (`record_parts`).
 """
 
 from msgspec import Struct
--- a/tests/fleet_node.py
+++ b/tests/fleet_node.py
@@ -115,10 +115,10 @@
         elif self.followed < store.ledger:
             for item in store.since(self.followed, records.ROOT):
                 if "Set" in item:
-                    view.put(item["Set"], item["Value"], item["Stamp"])
+                    view.apply_value(item["Set"], item["Value"], item["Stamp"])
                 else:
-                    view.drop(item["Remove"], item["Stamp"])
-        self.followed = view.ledger = store.ledger
+                    view.apply_removal(item["Remove"], item["Stamp"])
+        self.followed = view.revision = store.ledger
         core.ctx.watch_ok_at = core.ctx.state_ok_at = MonotonicTime(1000.0 + self.world.now)
 
     def _tick(self) -> None:
@@ -178,14 +178,14 @@
             for key in queue.stale_keys():
                 ended = world.store.row(key.replace(records.JOB_PREFIX, records.ENDING_PREFIX))
                 if key.startswith(records.JOB_PREFIX) and key not in world.store.keys and ended:
-                    queue.over(key)
-                queue.refreshed(key)
+                    queue.settle_ended_job(key)
+                queue.mark_refreshed(key)
         while self.flying < 3:
             batch = queue.next_batch(now)
             if batch is None:
                 return
             if not self.state_up():
-                queue.refused(batch, now, 0.3)
+                queue.handle_refusal(batch, now, 0.3)
                 return
             self._send(batch)
 
@@ -217,7 +217,7 @@
             if self.life == life and not self.stands(unanswered):
                 self.enter()
                 self.flying -= 1
-                queue.unknown(batch, MonotonicTime(1000.0 + world.now), 0.3)
+                queue.handle_missing_response(batch, MonotonicTime(1000.0 + world.now), 0.3)
 
         world.after(delay, land)
         if lost:
@@ -228,18 +228,18 @@
         ctx.state_ok_at = MonotonicTime(1000.0 + self.world.now)
         no_lease = b"lease" in encode(body)
         if status == 200:
-            queue.applied(batch, body["Ledger"])
+            queue.handle_success(batch, body["Ledger"])
         elif status == 409:
-            queue.conflicted(batch, body["failed"])
+            queue.handle_conflict(batch, body["failed"])
         elif no_lease:
             ctx.lease_id = 0
             if self.version is OURS:
-                queue.lease_gone(batch)
+                queue.handle_lost_lease(batch)
             else:
-                queue.invalid(batch)
+                queue.handle_invalid(batch)
         else:
             self.world.refused += 1
-            queue.invalid(batch)
+            queue.handle_invalid(batch)
 
     def _link(self, member: str, life: int) -> None:
         """Frames to one sibling; a refused one ends the connection, and all is said anew."""
--- a/tests/measure_shares.py
+++ b/tests/measure_shares.py
@@ -152,7 +152,7 @@
     fleet.run(fleet.now + 30.0)
     writes = sum((n.get("Set") or n["Remove"]).startswith("cf/s/") for n in fleet.store.news)
     print(f"{writes} changes of ownership records, {len(fleet.on)} of {before} tasks still run")
-    assert fleet.led().core.view.level == records.SHARES_LEVEL
+    assert fleet.led().core.view.format_level == records.SHARES_LEVEL
 
 
 def main() -> None:
--- a/tests/production.py
+++ b/tests/production.py
@@ -81,6 +81,28 @@
         "Direct": {"address": "addr", "commands": "orders"},
     },
     "coordination.forward": {"Forwarding": {"receive_proposals": "proposals"}},
+    "storage.queue": {
+        "CommitQueue": {
+            "handle_conflict": "conflicted",
+            "handle_invalid": "invalid",
+            "handle_missing_response": "unknown",
+            "handle_refusal": "refused",
+            "handle_success": "applied",
+            "mark_refreshed": "refreshed",
+            "settle_ended_job": "over",
+        },
+    },
+    "storage.view": {
+        "View": {
+            "apply_removal": "drop",
+            "apply_value": "put",
+            "fencing_token": "token",
+            "is_loaded": "loaded",
+            "records_by_key": "held",
+            "revision": "ledger",
+            "waiting_jobs": "waiting",
+        },
+    },
 }
 
 # The same for functions of modules: module, new name, old name.
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -312,7 +312,7 @@
     for fleet in world.fleets.values():
         node = fleet.leader()
         assert node is not None
-        waiting = list(node.core.view.waiting)
+        waiting = list(node.core.view.waiting_jobs)
         assert waiting
         assert all(node.core.leader.waiting_reasons.get(name) for name in waiting)
         for record in fleet.records().values():
@@ -405,7 +405,7 @@
     world.submit_many("east", 20, 20.0)
     world.run(40.0)
     assert world.count("offered") == 0
-    assert all(node.core.view.level <= 1 for node in world["east"].nodes)
+    assert all(node.core.view.format_level <= 1 for node in world["east"].nodes)
     world.without_file.clear()
     world["east"].nodes[2].stop()
     world["east"].nodes[2].start()
--- a/tests/test_cells_input.py
+++ b/tests/test_cells_input.py
@@ -455,7 +455,7 @@
 
 def clock(held_until: float, held_s: float) -> GrantExpiry:
     view = View()
-    view.keep("cf/c/east", CellLink(held_until=held_until, held_s=held_s), 1)
+    view.store_record("cf/c/east", CellLink(held_until=held_until, held_s=held_s), 1)
     found = GrantExpiry(view)
     found.observe(MonotonicTime(100.0))
     return found
@@ -475,7 +475,7 @@
     cells = Cells(config(), world.core)
     view = world.core.view
     until = EPOCH + world.now + 12.0
-    view.keep("cf/c/east", CellLink(until, 12.0, 10.0), 1)
+    view.store_record("cf/c/east", CellLink(until, 12.0, 10.0), 1)
     ctx = world.enter().ctx
     cells.home.observe()
     ctx.wall_time = WallTime(until + 7200.0)
@@ -513,22 +513,22 @@
     released = GuestStage.RELEASED
     assert words(cells) == [(HANDLE, released), (OTHERS[1], released)]
     key = records.job_key(NAME)
-    cells.core.view.keep(key, guest_job(GuestStage.GRANTED), 10**6)
+    cells.core.view.store_record(key, guest_job(GuestStage.GRANTED), 10**6)
     assert words(cells) == [(HANDLE, GuestStage.GRANTED), (OTHERS[1], released)]
 
 
 def test_nothing_is_said_of_a_record_that_can_not_be_read() -> None:
     """Its tasks may run: neither released here nor closed at home."""
     cells = leading_cells()
-    cells.core.view.put(records.job_key(NAME), ["not", "a", "job"] * 9, 10**6)
-    assert records.job_key(NAME) in cells.core.view.unreadable
+    cells.core.view.apply_value(records.job_key(NAME), ["not", "a", "job"] * 9, 10**6)
+    assert records.job_key(NAME) in cells.core.view.unreadable_keys
     assert words(cells) == []
     state = GuestState(HANDLE, GuestStage.FINISHED, 0, [], 0)
     raw = dump_frame(frame(seq=2, sent_at=cells.core.ctx.wall_time, guests=(state,)))
     cell = cells.directory.take(raw, "127.0.1.1")
     assert cell is not None
     assert cells.home.fill(frame(), cell).closed == ()
-    cells.core.view.unreadable.clear()
+    cells.core.view.unreadable_keys.clear()
     assert cells.home.fill(frame(), cell).closed == (HANDLE,)
 
 
@@ -540,10 +540,10 @@
     cells = guest_world(GuestStage.GRANTED, 50.0)
     ctx, view = cells.core.ctx, cells.core.view
     away = Delegation("east", 1, DelegationStage.GRANTED, ctx.wall_time, "7-1")
-    view.keep(
+    view.store_record(
         records.job_key(JobId("job-2")), JobRecord(spec(), ctx.wall_time, delegation=away), 10**6
     )
-    view.keep("cf/c/east", CellLink(ctx.wall_time + 5.0, 12.0, 10.0), 10**6 + 1)
+    view.store_record("cf/c/east", CellLink(ctx.wall_time + 5.0, 12.0, 10.0), 10**6 + 1)
     raw = dump_frame(frame(sent_at=ctx.wall_time, held_until=ctx.wall_time + held_s))
     cell = cells.directory.take(raw, "127.0.1.1")
     assert cell is not None
@@ -560,9 +560,11 @@
     cells = Cells(config(), world.core)
     world.run(3.0)
     ctx, view = world.enter().ctx, world.core.view
-    view.level = records.CELLS_LEVEL
-    view.keep("cf/c/east", CellLink(held_until=ctx.wall_time + held_s, held_s=held_s), 10**6)
-    view.keep(records.job_key(NAME), guest_job(stage), 10**6)
+    view.format_level = records.CELLS_LEVEL
+    view.store_record(
+        "cf/c/east", CellLink(held_until=ctx.wall_time + held_s, held_s=held_s), 10**6
+    )
+    view.store_record(records.job_key(NAME), guest_job(stage), 10**6)
     world.enter()
     return cells
 
@@ -575,7 +577,7 @@
 
 
 def waits_for_writing(cells: Cells) -> set[str]:
-    keys = {key.removeprefix(records.ROOT) for key in cells.core.queue.waiting}
+    keys = {key.removeprefix(records.ROOT) for key in cells.core.queue.waiting_edits}
     return keys & {"c/east", f"j/{NAME}"}
 
 
@@ -586,7 +588,7 @@
     hears(cells, 1, until=later)
     assert waits_for_writing(cells) == {f"j/{NAME}"}
     stopped = guest_job(GuestStage.RELEASED, status=records.CANCELLED)
-    cells.core.view.keep(records.job_key(NAME), stopped, 10**6 + 1)
+    cells.core.view.store_record(records.job_key(NAME), stopped, 10**6 + 1)
     hears(cells, 2, until=later)
     assert "c/east" in waits_for_writing(cells)
 
@@ -604,7 +606,7 @@
     hears(cells, 1, until=until, grants=(HANDLE,))
     assert waits_for_writing(cells) == {"c/east"}
     link = CellLink(held_until=until, held_s=12.0)
-    cells.core.view.keep("cf/c/east", link, 10**6 + 1)
+    cells.core.view.store_record("cf/c/east", link, 10**6 + 1)
     cells.core.set_time(cells.core.ctx.now, cells.core.ctx.wall_time)
     hears(cells, 2, until=until, grants=(HANDLE,))
     assert f"j/{NAME}" in waits_for_writing(cells)
@@ -625,9 +627,9 @@
     ctx, view = cells.core.ctx, cells.core.view
     guest = Guest("east", 1, "9-1", GuestStage.GRANTED, ctx.wall_time - patient_s)
     urgent = JobRecord(spec(Rank="urgent"), ctx.wall_time, guest=guest)
-    view.keep(records.job_key(NAME), urgent, 10**6 + 1)
+    view.store_record(records.job_key(NAME), urgent, 10**6 + 1)
     own = JobId("job-2")
-    view.keep(records.job_key(own), JobRecord(spec(NameId=own), ctx.wall_time), 10**6 + 1)
+    view.store_record(records.job_key(own), JobRecord(spec(NameId=own), ctx.wall_time), 10**6 + 1)
     order = [wait.name for wait in cells.core.leader.list_queued_jobs(cells.port.quota())]
     assert order == ([own, NAME] if patient_s == 0.0 else [NAME, own])
 
@@ -681,22 +683,22 @@
 def test_use_counts_at_home_while_a_job_is_away() -> None:
     view = View()
     key = records.job_key(NAME)
-    view.keep(key, JobRecord(spec(Pieces=4), EPOCH), 1)
-    assert view.usage.get("blue", [0.0, 0.0])[1] == 0.0
-    view.keep(key, away_job(DelegationStage.OFFERED), 2)
-    assert view.usage["blue"][1] == 4.0
-    assert NAME not in view.waiting
-    view.keep(key, away_job(DelegationStage.RUNNING, status=records.CANCELLED), 3)
-    assert view.usage["blue"][1] == 4.0  # until it is proven gone
-    view.keep(key, away_job(DelegationStage.HOME), 4)
-    assert view.usage["blue"][1] == 0.0
-    assert NAME in view.waiting
+    view.store_record(key, JobRecord(spec(Pieces=4), EPOCH), 1)
+    assert view.team_usage.get("blue", [0.0, 0.0])[1] == 0.0
+    view.store_record(key, away_job(DelegationStage.OFFERED), 2)
+    assert view.team_usage["blue"][1] == 4.0
+    assert NAME not in view.waiting_jobs
+    view.store_record(key, away_job(DelegationStage.RUNNING, status=records.CANCELLED), 3)
+    assert view.team_usage["blue"][1] == 4.0  # until it is proven gone
+    view.store_record(key, away_job(DelegationStage.HOME), 4)
+    assert view.team_usage["blue"][1] == 0.0
+    assert NAME in view.waiting_jobs
 
 
 def test_a_guest_is_not_a_job_that_others_may_need() -> None:
     view = View()
-    view.keep(records.job_key(NAME), guest_job(GuestStage.GRANTED), 1)
-    assert view.fate(NAME) is None
+    view.store_record(records.job_key(NAME), guest_job(GuestStage.GRANTED), 1)
+    assert view.prerequisite_status(NAME) is None
 
 
 # Policy
@@ -772,12 +774,12 @@
     log = WaitLog(view)
     for number in range(LEAST_SAMPLES):
         name = JobId(f"job-{number}")
-        view.keep(records.job_key(name), JobRecord(spec(NameId=name), EPOCH), number + 1)
+        view.store_record(records.job_key(name), JobRecord(spec(NameId=name), EPOCH), number + 1)
         log.expect(name, EPOCH, 9.0)
         log.expect(name, EPOCH + 5.0, 900.0)  # only the first word counts
         entry = TaskEntry(0, records.PLACED, 1, "n0", "a", "i-1", 1)
         started = JobRecord(spec(NameId=name), EPOCH, entries=[entry])
-        view.keep(records.job_key(name), started, number + 1000)
+        view.store_record(records.job_key(name), started, number + 1000)
         assert log.factor == 1.0
     log.look(MonotonicTime(100.0), EPOCH + 19.0)
     assert log.factor == pytest.approx(2.0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -169,8 +169,8 @@
     """One that was seen before an older write of the same key must win over it."""
     view = View()
     for number in range(2 * MACHINES):
-        view.drop(f"{records.JOB_PREFIX}job-{number}", 1000 + number)
-    old = view.put(f"{records.JOB_PREFIX}job-0", [1, 1], 999)
+        view.apply_removal(f"{records.JOB_PREFIX}job-{number}", 1000 + number)
+    old = view.apply_value(f"{records.JOB_PREFIX}job-0", [1, 1], 999)
     assert not old
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -170,9 +170,9 @@
     gap = Gap(seed, refused_s=2.6)
     fleet = gap.fleet
     gap.first.refused_until = gap.until + 40.0
-    token = gap.first.core.view.token
+    token = gap.first.core.view.fencing_token
     fleet.run(gap.outage_at)
-    assert max(n.core.view.token for n in fleet.nodes) > token
+    assert max(n.core.view.fencing_token for n in fleet.nodes) > token
     fleet.run(gap.until)
     running = {name: there for name, there in fleet.on.items() if not there[1].job.cancel}
     fleet.run(gap.until + 60.0)  # each start is checked against what runs
@@ -310,13 +310,13 @@
     names = sorted(j.name for j in fleet.jobs.values())
     in_hand_over = 0
     for node in fleet.nodes:
-        token = max(n.core.view.token for n in fleet.nodes)
+        token = max(n.core.view.fencing_token for n in fleet.nodes)
         node.stop()
         fleet.after(2.0, node.start)
         for _ in range(6):
             fleet.after(fleet.rng.uniform(0.0, 4.0), partial(off, fleet, names.pop()))
         fleet.run(fleet.now + 6.0)
-        assert max(n.core.view.token for n in fleet.nodes) > token
+        assert max(n.core.view.fencing_token for n in fleet.nodes) > token
         in_hand_over += sum(fleet.now - 6.0 < j.cancelled_at for j in fleet.jobs.values())
     assert in_hand_over >= 24
     fleet.run(fleet.now + 30.0)
@@ -338,8 +338,8 @@
             worker.kill()
             fleet.capacity[(worker.zone, worker.spot)] += 1
         was = change_leader(fleet)
-        token = was.core.view.token
-        while max(n.core.view.token for n in fleet.nodes) == token:
+        token = was.core.view.fencing_token
+        while max(n.core.view.fencing_token for n in fleet.nodes) == token:
             fleet.run(fleet.now + 0.05)
         arrived += fleet.let_go()
         fleet.run(fleet.now + 4.0)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -20,7 +20,7 @@
 from coursefold.storage import codec, records
 from coursefold.storage.edits import Edit, NotApplicableError
 from coursefold.storage.records import Ending, JobRecord
-from coursefold.storage.view import Load
+from coursefold.storage.view import MachineLoad
 from tests.world import EPOCH, JOB, World
 
 RUNNING, EXITED = {"Status": "running"}, {"Status": "exited", "Cause": "done"}
@@ -150,14 +150,16 @@
     names = [f"job-{n * 7919 % 1000003:06d}" for n in range(3000)]
     for name in names:
         world.store.set(records.ending_key(JobId(name)), [records.CANCELLED, 1])
-        world.core.view.remember(records.ending_key(JobId(name)), Ending(records.CANCELLED, 1))
+        world.core.view.remember_ending(
+            records.ending_key(JobId(name)), Ending(records.CANCELLED, 1)
+        )
     accepted(world, "job-1", *names)
     assert status(world, "job-1") == "cancelled"
     world = switched()
     spec = decode(encode(JOB | {"NameId": "job-1"}), Job)
     for name in names:
         world.store.set(key(name), codec.encode_record(JobRecord(spec, EPOCH)))
-    world.core.queue.later = world.core.queue.limits._replace(txn_ops=5, value_bytes=2048)
+    world.core.queue.later_limits = world.core.queue.limits._replace(txn_ops=5, value_bytes=2048)
     world.run(3.0)
     accepted(world, "job-1", *names[:1000])
     answer = world.submit("job-2", Prereqs=names)
@@ -177,7 +179,7 @@
     accepted(world, "job-2", "job-1", Pieces=6, Owner="red")
     world.run(12.0)
     node = world.core
-    assert JobId("job-2") not in node.view.waiting
+    assert JobId("job-2") not in node.view.waiting_jobs
     assert node.view.jobs[JobId("job-2")].entries == []
     arrivals = node.fleet.pool_control.recent_arrivals
     assert "job-2" not in arrivals
@@ -220,7 +222,7 @@
     assert report() == ["job-2/0", "job-3/0"]
     report(task(2, 1, EXITED), task(3, 1, RUNNING))
     assert status(world, "job-4") == "pending"
-    assert JobId("job-4") not in world.core.view.waiting
+    assert JobId("job-4") not in world.core.view.waiting_jobs
     report(task(3, 1, EXITED))
     report()
     assert report() == ["job-4/0"]
@@ -257,8 +259,8 @@
     world.restart()
     world.run(world.now + 3.0)
     view = world.core.view
-    assert not view.needs.holds(JobId("job-20"))
-    assert EPOCH < view.since(JobId("job-20"), view.jobs[JobId("job-20")]) < EPOCH + world.now
+    assert not view.prerequisites.is_blocked(JobId("job-20"))
+    assert EPOCH < view.eligible_at(JobId("job-20"), view.jobs[JobId("job-20")]) < EPOCH + world.now
 
 
 def test_an_ending_that_moved_while_it_was_named_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -283,7 +285,7 @@
     ended(world, "job-1", records.DONE, EPOCH + 55.0)
     for _ in range(2):
         view, job = world.core.view, world.core.view.jobs[JobId("job-2")]
-        assert view.since(JobId("job-2"), job) == EPOCH + 55.0
+        assert view.eligible_at(JobId("job-2"), job) == EPOCH + 55.0
         (found,) = [
             w for w in world.core.leader.list_queued_jobs(quota(world)) if w.name == "job-2"
         ]
@@ -299,7 +301,7 @@
 def quota(world: World) -> Any:
     from coursefold.coordination.quota import QuotaTracker
 
-    return QuotaTracker(world.core.ctx.settings.params.teams, world.core.view.usage)
+    return QuotaTracker(world.core.ctx.settings.params.teams, world.core.view.team_usage)
 
 
 def test_a_job_is_as_urgent_as_those_that_need_it() -> None:
@@ -380,7 +382,7 @@
     assert answer is not None
     assert answer.body["Status"] == "done"
     assert status(world, "job-2") == "pending"
-    assert JobId("job-2") in world.core.view.waiting
+    assert JobId("job-2") in world.core.view.waiting_jobs
 
 
 def test_a_cancelled_job_that_still_runs_is_not_done_for_those_that_need_it() -> None:
@@ -410,7 +412,7 @@
     world.enter().leader.tick()
     queue.propose(Edit(key("job-99"), edits.accept(decode(
         encode(JOB | {"NameId": "job-99"}), Job), EPOCH), priority=0))  # fmt: skip
-    assert 0 < sum(any(e.tag == "orphan" for e in w) for w in queue.waiting.values()) <= 8
+    assert 0 < sum(any(e.tag == "orphan" for e in w) for w in queue.waiting_edits.values()) <= 8
     batch = queue.next_batch(world.core.ctx.now)
     assert batch is not None
     assert next(iter(batch.results)) == key("job-99")
@@ -426,7 +428,7 @@
     for counter in (1, 2, 3):
         world.report("i-000000", [], Counter=counter)
         world.run(world.now + 1.0)
-    assert world.core.view.occupies("i-000000")
+    assert world.core.view.has_entries_on("i-000000")
     summary.reserve_for_gang(world.core.ctx, frozenset(["i-000000"]))
     lent = world.core.ctx.machines["i-000000"].gang_reservation_until
     assert lent > world.core.ctx.now
@@ -451,8 +453,8 @@
     wide = msgspec.structs.replace(BUSY, cpus=2.0, gpus=2.0)
     rooms = [
         MachineCapacity("i-empty", KIND, "a", False, "n0", 1),
-        MachineCapacity("i-half", KIND, "a", False, "n0", 1, Load([tight])),
-        MachineCapacity("i-full", KIND, "a", False, "n0", 1, Load([wide])),
+        MachineCapacity("i-half", KIND, "a", False, "n0", 1, MachineLoad([tight])),
+        MachineCapacity("i-full", KIND, "a", False, "n0", 1, MachineLoad([wide])),
     ]
     other = msgspec.structs.replace(BUSY, cpus=6.0)
     small = msgspec.structs.replace(SMALL, cpus=2.0)
--- a/tests/test_questions.py
+++ b/tests/test_questions.py
@@ -83,13 +83,13 @@
     envelope = peer_pb2.Envelope(version=2, sender="n1", sent_at=world.core.ctx.wall_time, link=5.0)
     envelope.seq = seq
     envelope.summary.full = full
-    envelope.summary.token = world.core.view.token
+    envelope.summary.token = world.core.view.fencing_token
     envelope.proposals.extend(proposals)
     return envelope.SerializeToString()
 
 
 def proposal(world: World, id: int, kind: str, **task: Any) -> peer_pb2.Proposal:
-    found = peer_pb2.Proposal(id=id, token=world.core.view.token, job="job-1", kind=kind)
+    found = peer_pb2.Proposal(id=id, token=world.core.view.fencing_token, job="job-1", kind=kind)
     found.tasks.add(**task)
     return found
 
@@ -132,7 +132,7 @@
     stale.token -= 1
     for at, bad in enumerate((stale, proposal(world, 2, "burn", number=0)), 2):
         world.peer(frame(world, at, bad))
-    empty = peer_pb2.Proposal(id=3, token=world.core.view.token, job="job-1", kind="finish")
+    empty = peer_pb2.Proposal(id=3, token=world.core.view.fencing_token, job="job-1", kind="finish")
     world.peer(frame(world, 4, empty))
     assert world.store.ledger == ledger
 
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -43,22 +43,22 @@
     world = World()
     ctx = world.core.ctx
     assert ctx.is_active()
-    world.core.view.ledger = ctx.view.token - 1
+    world.core.view.revision = ctx.view.fencing_token - 1
     assert not ctx.is_active()
-    world.core.view.ledger = ctx.view.token
+    world.core.view.revision = ctx.view.fencing_token
     assert ctx.is_active()
 
 
 def test_controllers_that_come_back_together_make_one_roster() -> None:
     """Each roster is a token that all workers have to be told, and to show."""
     world = World()
-    rosters = [world.core.view.token]
+    rosters = [world.core.view.fencing_token]
     for member, zone in (("n1", "b"), ("n2", "a")):
         world.join(member, zone)
         world.run(world.now + 0.25)
-        rosters.append(world.core.view.token)
+        rosters.append(world.core.view.fencing_token)
     world.run(world.now + 2.0)
-    rosters.append(world.core.view.token)
+    rosters.append(world.core.view.fencing_token)
     roster = world.core.view.roster
     assert roster is not None
     assert [m.name for m in roster.members] == ["n0", "n1", "n2"]
@@ -79,14 +79,14 @@
     for member, zone in (("n1", "b"), ("n2", "a")):
         world.join(member, zone)
     world.run(6.0)
-    token = world.core.view.token
+    token = world.core.view.fencing_token
     knocking = (f"i-{n}" for n in range(9))
     for machine in knocking:
         for _ in range(3):
             world.report(machine, [], Site="b")
             world.run(world.now + 0.6)
     assert "n1" in world.core.election.unreachable_for_workers()
-    assert world.core.view.token == token
+    assert world.core.view.fencing_token == token
     world.peer(world.peer_frame("n2", 0.2))  # one that we hear is a witness
     world.run(world.now + 1.0)
     roster = world.core.view.roster
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -183,7 +183,7 @@
         if any(isinstance(r, MachineOwnership) for r in batch.results.values()) and not held:
             held.append(batch.body)
             source.refused_until = fleet.now + 1.5  # nothing else of it is written meanwhile
-            source.core.queue.unknown(batch, source.core.ctx.now, 0.3)
+            source.core.queue.handle_missing_response(batch, source.core.ctx.now, 0.3)
             return
         send(batch)
 
@@ -321,7 +321,7 @@
     core = fleet.led().enter()
     planner = fleet.shares[fleet.led().number].planner
     assert planner.port.change_ownership(
-        machine, _second_request(machine, record, core.view.ledger), "second"
+        machine, _second_request(machine, record, core.view.revision), "second"
     )
     fleet.run(fleet.now + 1.0)
     assert fleet.under_way()[machine] == record
@@ -424,7 +424,7 @@
     some = SharesFleet(capacity=40, without=frozenset({1, 3}))
     some.fill(8, 10.0)
     some.run(25.0)
-    assert some.led().core.view.level < records.SHARES_LEVEL
+    assert some.led().core.view.format_level < records.SHARES_LEVEL
     if some.led().number in some.shares:
         assert some.move("n0", "n1", 1, "r-1").status == 503
     none = SharesFleet(capacity=40, without=frozenset(range(5)))
@@ -446,7 +446,7 @@
         one.start()
         names += fleet.fill(6, 20.0, prefix=str(2 + number))
         fleet.run(fleet.now + 6.0)
-    fleet.run_until(lambda: fleet.led().core.view.level == records.SHARES_LEVEL, 30.0)
+    fleet.run_until(lambda: fleet.led().core.view.format_level == records.SHARES_LEVEL, 30.0)
     pair = ask(fleet, 2)
     fleet.run_until(lambda: fleet.handovers[pair] >= 2, 60.0)
     ends_well(fleet, names)
--- a/tests/test_shares_guards.py
+++ b/tests/test_shares_guards.py
@@ -44,7 +44,7 @@
             "Loaners": False, "Status": "running", "HeldS": 60.0,
         }  # fmt: skip
         self.run(3.0)
-        self.token = self.core.view.token
+        self.token = self.core.view.fencing_token
         for _ in range(2):
             self.says([])
             self.run(self.now + 1.0)
@@ -94,13 +94,13 @@
 
     def sends_nothing(self) -> None:
         """Transactions wait in the queue: their outcome is not known for as long."""
-        self.core.queue.pause_until = MonotonicTime(1e9)
+        self.core.queue.paused_until = MonotonicTime(1e9)
 
 
 def test_a_running_replica_is_handed_over_and_its_worker_sent_on() -> None:
     world = Pair()
     world.moves_to("n1")
-    requested_at = world.core.view.stamp(KEY)
+    requested_at = world.core.view.version_of(KEY)
     world.ticks()
     assert (world.record().owner, world.record().token) == ("n1", requested_at)
     assert world.says([world.task()]) == 421
@@ -127,7 +127,7 @@
     """Else its token would be lower than the one that the machine knows."""
     world = Pair()
     world.moves_to("n1", roster_token=1)
-    requested_at = world.core.view.stamp(KEY)
+    requested_at = world.core.view.version_of(KEY)
     assert world.shares.handover.waiting == {}
     world.shares.handover.tick()
     assert not world.core.ctx.ownership.is_released(MACHINE)
@@ -156,7 +156,7 @@
     world.ticks(20.0)
     assert world.core.ctx.is_active()
     assert not world.core.ctx.machines[MACHINE].lease_expired
-    assert not [k for k in world.core.queue.waiting if k.startswith(records.JOB_PREFIX)]
+    assert not [k for k in world.core.queue.waiting_edits if k.startswith(records.JOB_PREFIX)]
 
 
 def test_leases_are_renewed_no_longer_than_the_leader_waits_for_them() -> None:
@@ -205,14 +205,14 @@
     # Absence under an older token proves nothing, nor does silence; under the new one it does.
     world.cancel("job-1")
     world.says([])
-    assert world.core.view.entry(JobId("job-1"), 0) is not None
+    assert world.core.view.find_entry(JobId("job-1"), 0) is not None
     world.run(world.now + 1.0)
     world.says([world.task()], token)
     assert ctx.machines[MACHINE].token_confirmed
     assert world.direct[-1].token == token if world.direct else True
     world.says([], token)
     world.run(world.now + 0.5)
-    assert world.core.view.entry(JobId("job-1"), 0) is None
+    assert world.core.view.find_entry(JobId("job-1"), 0) is None
 
 
 def test_a_stop_to_the_workers_own_address_carries_the_raised_token() -> None:
@@ -230,11 +230,11 @@
 def test_nobody_acts_on_a_handover_before_what_came_before_it_is_known() -> None:
     world = Pair()
     token = world.store.ledger
-    followed = world.core.view.ledger
+    followed = world.core.view.revision
     given_to_us(world, token)
-    world.core.view.ledger = followed  # the record alone was read again
+    world.core.view.revision = followed  # the record alone was read again
     assert world.says([], token) == 503
-    world.core.view.ledger = world.store.ledger
+    world.core.view.revision = world.store.ledger
     assert world.says([], token)["Baton"] == token
 
 
@@ -248,10 +248,10 @@
     job, since = JobId("job-1"), world.now
     while world.now < since + 40.0:
         world.ticks(0.5)
-        assert world.core.view.entry(job, 0) is not None
+        assert world.core.view.find_entry(job, 0) is not None
     assert world.core.ctx.machines[MACHINE].lease_expired
     world.ticks(10.0)  # longer than anybody may have renewed its lease
-    assert world.core.view.entry(job, 0) is None
+    assert world.core.view.find_entry(job, 0) is None
 
 
 def counted(world: Pair) -> tuple[bool, bool]:
@@ -342,7 +342,7 @@
     hires = sum(verb == "hire" for verb, _ in world.calls)
     world.submit("job-2", **REPLICA)
     since = world.now
-    while world.core.view.entry(JobId("job-2"), 0) is None:
+    while world.core.view.find_entry(JobId("job-2"), 0) is None:
         assert world.now < since + 60.0
         world.says([world.task()])
         world.run(world.now + 1.0)
@@ -388,7 +388,7 @@
     assert world.core.ctx.owner_of(MACHINE, "a") == "n0"
     assert world.core.ctx.machine_token(MACHINE) == world.token
     assert world.says([world.task()])["Orders"] == []
-    assert KEY in world.core.view.unreadable
+    assert KEY in world.core.view.unreadable_keys
 
 
 def test_a_record_goes_only_once_the_rosters_token_stands_for_it() -> None:
@@ -402,7 +402,7 @@
         records.VERSION_PREFIX + "n2", [records.SHARES_LEVEL, world.store.keys["cf/m/n2"][0][1]]
     )
     world.ticks(20.0)
-    assert world.core.view.token > world.token
+    assert world.core.view.fencing_token > world.token
     owner = world.core.ctx.owner_by_hash(MACHINE, "a", world.core.view.roster)  # type: ignore[arg-type]
     assert (str(KEY) in world.store.keys) == (owner != "n0")
 
@@ -440,12 +440,12 @@
     world.moves_to("n1", expires_at=EPOCH + world.now + 5.0)
     world.submit("job-2", **REPLICA)
     for seconds in (4.0, 4.0):
-        assert world.core.view.entry(JobId("job-2"), 0) is None
+        assert world.core.view.find_entry(JobId("job-2"), 0) is None
         world.says([world.task()])
         world.run(world.now + seconds)
     world.says([world.task()])
     world.run(world.now + 1.0)
-    entry = world.core.view.entry(JobId("job-2"), 0)
+    entry = world.core.view.find_entry(JobId("job-2"), 0)
     assert entry is not None
     assert entry.machine == MACHINE
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -15,7 +15,7 @@
 from coursefold.storage.batches import Batch
 from coursefold.storage.codec import decode_record, encode_record
 from coursefold.storage.edits import HIGH_PRIORITY, Edit, NotApplicableError
-from coursefold.storage.queue import MOST_CONFLICTS, CommitQueue
+from coursefold.storage.queue import MAX_CONFLICTS, CommitQueue
 from coursefold.storage.records import JobRecord, TaskEntry, add_to_ranges
 from coursefold.storage.view import View
 from tests.standins.state import StateStore
@@ -79,18 +79,18 @@
 ) -> None:
     """What becomes of a transaction, and what its sender learns of it."""
     if step == "refused":
-        queue.refused(batch, now, 0.1)
+        queue.handle_refusal(batch, now, 0.1)
         return
     if step == "mute":
-        queue.unknown(batch, now, 0.1)
+        queue.handle_missing_response(batch, now, 0.1)
         return
     status, body = store.commit(float(now), batch.body)
     if step == "lost":
-        queue.unknown(batch, now, 0.1)
+        queue.handle_missing_response(batch, now, 0.1)
     elif status == 200:
-        queue.applied(batch, body["Ledger"])
+        queue.handle_success(batch, body["Ledger"])
     else:
-        queue.conflicted(batch, body["failed"])
+        queue.handle_conflict(batch, body["failed"])
 
 
 @settings(max_examples=200)
@@ -102,7 +102,7 @@
     told: dict[int, list[bool]] = {i: [] for i in range(count)}
     key = records.job_key(JobId("job-1"))
     store.set(key, encode_record(JobRecord(SPEC, 0.0)))
-    view.put(key, store.keys[key][0], store.keys[key][1])
+    view.apply_value(key, store.keys[key][0], store.keys[key][1])
 
     def take(index: int) -> Edit:
         def done(ok: bool, why: str) -> None:
@@ -118,8 +118,8 @@
         now = MonotonicTime(now + 1.0)
         for stale in queue.stale_keys():
             value, stamp, _ = store.keys[stale]
-            view.put(stale, value, stamp)
-            queue.refreshed(stale)
+            view.apply_value(stale, value, stamp)
+            queue.mark_refreshed(stale)
         batch = queue.next_batch(now)
         if batch is None:
             continue
@@ -134,7 +134,7 @@
         assert len(answers) == 1
         if answers[0]:
             assert index in held
-    if plan.count("other") <= MOST_CONFLICTS:
+    if plan.count("other") <= MAX_CONFLICTS:
         assert set(held) == set(range(count))
 
 
@@ -142,7 +142,7 @@
     """Found by the test above: eight outages and one conflict, and an edit was given up."""
     check = test_the_queue_never_settles_what_is_not_written.hypothesis.inner_test  # type: ignore[attr-defined]
     check([*["mute"] * 8, "other"], 1)
-    check([*["refused"] * 30, *["other"] * MOST_CONFLICTS], 3)
+    check([*["refused"] * 30, *["other"] * MAX_CONFLICTS], 3)
 
 
 def test_a_second_cancellation_waits_for_the_first_ones_commit() -> None:
@@ -151,14 +151,14 @@
     queue = CommitQueue(view, txn_ops=4, value_kb=16, write_rps=1000)
     key = records.job_key(JobId("job-1"))
     placed = JobRecord(SPEC, 0.0, entries=[TaskEntry(0, 1, 1, "n0", "a", "i-1", 1)])
-    view.put(key, encode_record(placed), 5)
+    view.apply_value(key, encode_record(placed), 5)
     said: list[tuple[bool, str]] = []
     for _ in range(2):
         queue.propose(Edit(key, jobs.cancel(), on_settled=lambda ok, why: said.append((ok, why))))
     batch = queue.next_batch(MonotonicTime(1.0))
     assert batch is not None
     assert said == []
-    queue.applied(batch, 6)
+    queue.handle_success(batch, 6)
     assert said == [(True, "")]
     assert queue.next_batch(MonotonicTime(2.0)) is None
     assert said == [(True, ""), (False, "cancelled")]
@@ -167,7 +167,7 @@
 def test_an_edit_of_a_former_roster_is_dropped() -> None:
     view = View()
     queue = CommitQueue(view, txn_ops=4, value_kb=16, write_rps=1000)
-    view.put(records.ROSTER_KEY, ["n0", []], 7)
+    view.apply_value(records.ROSTER_KEY, ["n0", []], 7)
     said: list[str] = []
     queue.propose(
         Edit(
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,7 +16,7 @@
 from coursefold.protocol import peer_pb2
 from coursefold.protocol.ids import JobId, MonotonicTime
 from coursefold.protocol.wire import Job, decode, encode
-from coursefold.storage import codec, records, spreading
+from coursefold.storage import codec, record_parts, records
 from coursefold.storage.edits import Edit
 from coursefold.storage.limits import StateServiceLimits
 from coursefold.storage.queue import CommitQueue
@@ -89,7 +89,9 @@
     (leader,) = [n for n in fleet.nodes if n.core.ctx.is_leading()]
     sibling = next(n.name for n in fleet.nodes if n is not leader)
     before = fleet.store.ledger
-    strange = peer_pb2.Proposal(id=7, token=leader.core.view.token, job="job-1", kind="orphan")
+    strange = peer_pb2.Proposal(
+        id=7, token=leader.core.view.fencing_token, job="job-1", kind="orphan"
+    )
     leader.core.forwarding.receive_proposals(sibling, [strange])
     assert [(o.id, o.ok) for o in leader.core.frame_builders[sibling].outcomes][-1] == (7, False)
     assert fleet.store.ledger == before
@@ -97,10 +99,10 @@
 
 def test_production_takes_no_harm_from_keys_it_does_not_know(old: Version) -> None:
     view = old.view.View()
-    view.put(records.version_key("n0"), codec.encode_record(records.MemberVersion(1, 7)), 3)
-    view.put(str(records.FORMAT_LEVEL_KEY), codec.encode_record(FormatLevel(1)), 4)
-    view.put(spreading.part_key("cf/j/job-1", 1), "text", 5)
-    assert view.held == {}
+    view.apply_value(records.version_key("n0"), codec.encode_record(records.MemberVersion(1, 7)), 3)
+    view.apply_value(str(records.FORMAT_LEVEL_KEY), codec.encode_record(FormatLevel(1)), 4)
+    view.apply_value(record_parts.part_key("cf/j/job-1", 1), "text", 5)
+    assert view.records_by_key == {}
     assert not view.jobs
 
 
@@ -135,17 +137,17 @@
     world.join("n1", "b")
     announce(world, "n1")
     world.run(8.0)
-    assert world.core.view.level == 0  # n2 has never been seen, and may come with an old one
+    assert world.core.view.format_level == 0  # n2 has never been seen, and may come with an old one
     answer = world.submit("job-1", Prereqs=["job-9"])
     assert answer is not None
     assert (answer.status, answer.retry_after) == (503, 2)
     assert records.job_key(JobId("job-1")) not in world.store.keys
     world.join("n2", "a")
     world.run(10.0)
-    assert world.core.view.level == 0  # it is here, with an old version
+    assert world.core.view.format_level == 0  # it is here, with an old version
     announce(world, "n2")
     world.run(12.0)
-    assert world.core.view.level == 1
+    assert world.core.view.format_level == 1
 
 
 def test_a_controller_that_was_upgraded_and_is_down_does_not_hold_the_switch_back() -> None:
@@ -153,16 +155,16 @@
     world.store.set(records.VERSION_PREFIX + "n1", [1, 77])
     world.store.set(records.VERSION_PREFIX + "n2", [1, 78])
     world.run(4.0)
-    assert world.core.view.level == 1
+    assert world.core.view.format_level == 1
 
 
 def test_a_controller_that_stays_down_holds_it_back_for_minutes_only() -> None:
     world = World()
     world.store.set(records.VERSION_PREFIX + "n1", [1, 77])
     world.run(200.0)
-    assert world.core.view.level == 0
+    assert world.core.view.format_level == 0
     world.run(320.0)
-    assert world.core.view.level == 1
+    assert world.core.view.format_level == 1
 
 
 def test_a_version_taken_back_counts_no_more() -> None:
@@ -173,11 +175,11 @@
     world.join("n2", "a")
     announce(world, "n2")
     world.run(4.0)
-    assert world.core.view.level == 0
+    assert world.core.view.format_level == 0
     world.run(9.0)
     assert records.VERSION_PREFIX + "n1" not in world.store.keys
     world.run(12.0)
-    assert world.core.view.level == 0
+    assert world.core.view.format_level == 0
 
 
 def test_all_restarting_does_not_lose_the_switch() -> None:
@@ -185,7 +187,7 @@
     world.store.set(records.FORMAT_LEVEL_KEY, [1])
     world.restart()
     world.run(4.0)
-    assert world.core.view.level == 1
+    assert world.core.view.format_level == 1
     assert world.core.ctx.is_leading()
 
 
@@ -297,9 +299,11 @@
 
         self.store, self.view = StateStore(), View()
         later = StateServiceLimits(5, 2048, 15.0)
-        self.queue = CommitQueue(self.view, txn_ops=16, value_kb=16, write_rps=1000, later=later)
+        self.queue = CommitQueue(
+            self.view, txn_ops=16, value_kb=16, write_rps=1000, later_limits=later
+        )
         if level:
-            self.view.keep(records.FORMAT_LEVEL_KEY, FormatLevel(level), 1)
+            self.view.store_record(records.FORMAT_LEVEL_KEY, FormatLevel(level), 1)
 
     def run(self, rounds: int = 60) -> int:
         """Commit what waits; how many transactions were refused."""
@@ -310,10 +314,10 @@
                 continue
             status, body = self.store.commit(float(at), batch.body)
             if status == 200:
-                self.queue.applied(batch, body["Ledger"])
+                self.queue.handle_success(batch, body["Ledger"])
             else:
                 refused += 1
-                self.queue.invalid(batch)
+                self.queue.handle_invalid(batch)
         return refused
 
     def seen(self) -> View:
@@ -327,17 +331,17 @@
 def test_the_rate_falls_at_the_first_refusal_after_the_switch() -> None:
     """Before it, a burst of our own is the likelier cause; the lower one is a quarter less."""
     lowered = Lowered(0)
-    lowered.queue.slower()
+    lowered.queue.handle_rate_refusal()
     assert lowered.queue.limits.write_rps == 1000
-    lowered.view.keep(records.FORMAT_LEVEL_KEY, FormatLevel(1), 1)
-    lowered.queue.share(True, 5)
+    lowered.view.store_record(records.FORMAT_LEVEL_KEY, FormatLevel(1), 1)
+    lowered.queue.set_rate_share(True, 5)
     assert lowered.queue.limits == StateServiceLimits(5, 2048, 1000)
-    before = lowered.queue.budget.rate
-    lowered.queue.slower()
-    lowered.queue.share(True, 5)
+    before = lowered.queue.bulk_budget.rate
+    lowered.queue.handle_rate_refusal()
+    lowered.queue.set_rate_share(True, 5)
     assert lowered.queue.limits == StateServiceLimits(5, 2048, 15.0)
-    assert lowered.queue.budget.rate < before / 50
-    assert lowered.queue.first.rate == 7.5
+    assert lowered.queue.bulk_budget.rate < before / 50
+    assert lowered.queue.priority_budget.rate == 7.5
 
 
 def test_an_ended_lease_refuses_only_what_hangs_on_it() -> None:
@@ -357,7 +361,7 @@
     batch = lowered.queue.next_batch(MonotonicTime(1.0))
     assert batch is not None
     assert lowered.store.commit(1.0, batch.body)[0] == 400
-    lowered.queue.lease_gone(batch)
+    lowered.queue.handle_lost_lease(batch)
     assert said == [("cf/m/n0", False)]
     assert lowered.run() == 0
     assert said[1:] == [(records.job_key(JobId("job-1")), True)]
@@ -374,7 +378,7 @@
     )
     assert lowered.run() == 1
     assert said == ["refused"]
-    assert not lowered.queue.waiting
+    assert not lowered.queue.waiting_edits
     # Nor one that no form makes small enough: formed under the lower limits, it is final.
     lowered = Lowered(0)
     lowered.store.value_bytes = 2048
@@ -412,7 +416,7 @@
 
 def test_a_record_over_the_limit_is_laid_over_several_keys() -> None:
     lowered = Lowered(1)
-    lowered.queue.share(True, 5)
+    lowered.queue.set_rate_share(True, 5)
     lowered.store.txn_ops, lowered.store.value_bytes = 5, 2048
     key = records.job_key(JobId("job-1"))
     big = gang_of(320)
@@ -448,8 +452,8 @@
     assert lowered.run(9) == 1
     assert said == []
     assert lowered.seen().jobs == {"job-1": big}
-    lowered.view.keep(records.FORMAT_LEVEL_KEY, FormatLevel(1), 90)
-    lowered.queue.share(True, 5)
+    lowered.view.store_record(records.FORMAT_LEVEL_KEY, FormatLevel(1), 90)
+    lowered.queue.set_rate_share(True, 5)
     lowered.run(9)
     assert said == [(True, "")] * 2
     assert len(lowered.seen().jobs[JobId("job-1")].entries) == 298
@@ -460,7 +464,7 @@
     value = codec.encode_record(gang_of(300))
     world.store.set(records.job_key(JobId("job-1")), value)
     queue = world.core.queue
-    queue.later = StateServiceLimits(5, 2048, 15.0)
+    queue.later_limits = StateServiceLimits(5, 2048, 15.0)
     world.store.set(records.FORMAT_LEVEL_KEY, [1])
     world.run(6.0)
     stored = world.store.keys[records.job_key(JobId("job-1"))][0]
@@ -474,17 +478,17 @@
     """Parts carry their head's Stamp; those of another Stamp are never put together."""
     key = records.job_key(JobId("job-1"))
     big = gang_of(320)
-    head, parts = spreading.spread(codec.encode_record(big), 2048)
-    rows = [(key, head), *((spreading.part_key(key, n), t) for n, t in enumerate(parts, 1))]
+    head, parts = record_parts.split_value(codec.encode_record(big), 2048)
+    rows = [(key, head), *((record_parts.part_key(key, n), t) for n, t in enumerate(parts, 1))]
     assert len(rows) > 1
     for order in (rows, rows[::-1]):
         view = View()
         for at, (name, value) in enumerate(order):
             assert not view.jobs
             if at == 1:
-                view.put(name, value, 4)  # torn: of an older revision
+                view.apply_value(name, value, 4)  # torn: of an older revision
                 assert not view.jobs
-            view.put(name, value, 5)
+            view.apply_value(name, value, 5)
         assert view.jobs == {"job-1": big}
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -155,10 +155,10 @@
         else:
             for item in self.store.since(self.followed, records.ROOT):
                 if "Set" in item:
-                    view.put(item["Set"], item["Value"], item["Stamp"])
+                    view.apply_value(item["Set"], item["Value"], item["Stamp"])
                 else:
-                    view.drop(item["Remove"], item["Stamp"])
-        self.followed = view.ledger = self.store.ledger
+                    view.apply_removal(item["Remove"], item["Stamp"])
+        self.followed = view.revision = self.store.ledger
         self.core.ctx.watch_ok_at = MonotonicTime(100.0 + self.now)
 
     def _commit(self) -> bool:
@@ -171,28 +171,28 @@
                 self._news()
                 ended = self.store.row(key.replace(records.JOB_PREFIX, records.ENDING_PREFIX))
                 if key.startswith(records.JOB_PREFIX) and key not in self.store.keys and ended:
-                    queue.over(key)
-                queue.refreshed(key)
+                    queue.settle_ended_job(key)
+                queue.mark_refreshed(key)
         batch = queue.next_batch(now)
         if batch is None:
             return reread or bool(self.core.ctx.effects)
         if self.state in ("down", "mute"):
-            queue.refused(batch, now, 0.2) if self.state == "down" else queue.unknown(
+            queue.handle_refusal(
                 batch, now, 0.2
-            )
+            ) if self.state == "down" else queue.handle_missing_response(batch, now, 0.2)
             return False
         status, body = self.store.commit(self.now, batch.body)
         if self.state == "lost":
-            queue.unknown(batch, now, 0.2)
+            queue.handle_missing_response(batch, now, 0.2)
             return False
         self._heard()
         if status == 200:
-            queue.applied(batch, body["Ledger"])
+            queue.handle_success(batch, body["Ledger"])
         elif status == 409:
-            queue.conflicted(batch, body["failed"])
+            queue.handle_conflict(batch, body["failed"])
         else:
             self.core.ctx.lease_id = 0
-            queue.lease_gone(batch)
+            queue.handle_lost_lease(batch)
         return True
 
     def _effects(self) -> bool:
@@ -281,7 +281,7 @@
     def report(self, machine: str, tasks: list[dict[str, Any]], **fields: Any) -> Response | None:
         body = {
             "Box": machine, "Addr": "10.0.0.9:9000", "Build": "g2", "Site": "a", "Loaners": False,
-            "Shift": 1, "Counter": 1, "Baton": self.core.view.token, "RecallS": None,
+            "Shift": 1, "Counter": 1, "Baton": self.core.view.fencing_token, "RecallS": None,
             "Pieces": tasks,
         } | fields  # fmt: skip
         return self.ask(lambda ticket: self.core.handle_report(encode(body), ticket))
@@ -316,13 +316,13 @@
             version=version, sender=member, sent_at=EPOCH + self.now, link=self.frames, seq=1
         )
         envelope.summary.full = True
-        envelope.summary.token = self.core.view.token
+        envelope.summary.token = self.core.view.fencing_token
         envelope.summary.state_age_s = state_age
         envelope.summary.permit = permit
         if told is not None:
             known = envelope.summary.cancellations
-            known.ledger = known.since = self.core.view.ledger + lacks
-            known.roster = self.core.view.token + newer
+            known.ledger = known.since = self.core.view.revision + lacks
+            known.roster = self.core.view.fencing_token + newer
             for job, ahead in told.items():
                 known.jobs.add(job=job, stamp=known.since + ahead)
         return envelope.SerializeToString()
