--- a/coursefold/storage/__init__.py
+++ b/coursefold/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept in the state service, and how it gets there."""
+"""The records kept in the state service, a local copy of them, and the queue that writes them."""
