--- a/coursefold/storage/view.py
+++ b/coursefold/storage/view.py
@@ -1,7 +1,8 @@
-"""What this node knows of the state service: a copy of the live keys, fed in order.
+"""A controller's local copy of the live keys of the state service.
 
-A key's Stamp decides which of two values is the newer one: answers to our own
-commits and the news of `/follow` arrive in any order.
+Responses to the controller's own commits and the updates from `/follow` arrive in any order.
+The version of a key (`Stamp`, the revision of its last change) decides which of two values is
+the newer one.
 """
 
 import logging
@@ -29,19 +30,30 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ENDINGS = 20_000  # final states kept in memory; older ones are read when asked for
-MAX_REMOVALS = 20_000  # remembered; twice as many changes as the state service keeps itself
+MAX_ENDINGS = 20_000  # final states kept in memory; older ones are read on request
+MAX_REMOVALS = 20_000  # removals kept in memory; twice the changes that the state service keeps
 
 
 class VersionedRecord(NamedTuple):
-    """A record and the revision of its last change."""
+    """A record and the version of its key."""
 
     record: Struct
     version: KeyVersion
 
 
 class MachineLoad:
-    """What the entries on one machine take together."""
+    """The resources that all entries on one machine take together.
+
+    Attributes:
+        specs: The jobs of the entries, one per entry.
+        cpus: Sum of the CPUs.
+        gpus: Sum of the accelerators.
+        memory_gb: Sum of the memory.
+        images_gb: The size of each image, by its name.
+        lowest_priority: The lowest of the jobs' priorities as the highest number in
+            PRIORITY_ORDER; -1 without entries.
+        replica_usage: CPUs, accelerators and memory (GB) of replicas of standing jobs.
+    """
 
     __slots__ = (
         "cpus",
@@ -55,17 +67,17 @@
 
     def __init__(self, specs: list[Job]) -> None:
         self.specs = specs
-        self.cpus = sum(s.cpus for s in specs)
-        self.gpus = sum(s.gpus for s in specs)
-        self.memory_gb = sum(s.memory_gb for s in specs)
-        self.images_gb = {s.image: s.image_gb for s in specs}
-        self.lowest_priority = max((PRIORITY_ORDER[s.priority] for s in specs), default=-1)
-        # Replicas end only when their user says so.
-        lasting = [s for s in specs if s.kind == "standing"]
+        self.cpus = sum(spec.cpus for spec in specs)
+        self.gpus = sum(spec.gpus for spec in specs)
+        self.memory_gb = sum(spec.memory_gb for spec in specs)
+        self.images_gb = {spec.image: spec.image_gb for spec in specs}
+        self.lowest_priority = max((PRIORITY_ORDER[spec.priority] for spec in specs), default=-1)
+        # Replicas run until their user cancels the job.
+        replicas = [spec for spec in specs if spec.kind == "standing"]
         self.replica_usage = (
-            sum(s.cpus for s in lasting),
-            sum(s.gpus for s in lasting),
-            sum(s.memory_gb for s in lasting),
+            sum(spec.cpus for spec in replicas),
+            sum(spec.gpus for spec in replicas),
+            sum(spec.memory_gb for spec in replicas),
         )
 
 
@@ -73,7 +85,43 @@
 
 
 class View:
-    """Records by key, with indices for jobs, members and pools."""
+    """Records by key, with indices for jobs, members, pools, cells and machine ownership.
+
+    Dictionaries with None as value serve as ordered sets.
+
+    Attributes:
+        records_by_key: All live records.
+        jobs: Live jobs, and cancelled ones that still have tasks.
+        members: Live controllers by name.
+        pools: Pools by the last part of their key.
+        removal_versions: Per removed key, the revision of its removal.
+        endings: Final states of ended jobs, the most recent ones.
+        endings_to_archive: Ended jobs whose final record still has its live key.
+        is_loaded: Whether a full listing has been read.
+        revision: The revision up to which changes have been read.
+        roster: The membership record.
+        fencing_token: The version of the roster.
+        catalog: The machine types.
+        format_level: The record formats that all controllers can read; 0 before the first switch.
+        ignored_members: Controllers that had been down for so long that the format level was
+            raised without them; they may come back with a version that reads older formats.
+        member_versions: What each controller's process can read and write.
+        cell_links: Grants to and from other cells, by the cell's name.
+        delegated_jobs: Jobs of this cell that other cells run.
+        guest_jobs: Jobs of other cells that run here.
+        ownership: The owners of machines that were moved, by machine.
+        ownership_changes: Machines whose ownership record changed and has not been processed.
+        moves_in_progress: Ownership records of machines that are being drained for a move.
+        share_requests: Operators' requests to move machines.
+        prerequisites: Which jobs wait for which others.
+        unreadable_keys: Keys whose records could not be read.
+        part_counts: Per record that is split over several keys, the number of its parts.
+        waiting_jobs: Jobs with tasks that can be assigned.
+        assigned_tasks: Per owner, the tasks that are assigned to it and not placed yet.
+        team_usage: Per team, the CPUs and accelerators that count against its limit.
+        cancelled_jobs: Cancelled jobs that still have tasks.
+        changed_machines: Machines whose entries changed and have not been processed.
+    """
 
     def __init__(self) -> None:
         self.records_by_key: dict[str, VersionedRecord] = {}
@@ -86,113 +134,118 @@
         self.is_loaded = False
         self.revision = 0
         self.roster: Roster | None = None
-        self.fencing_token = 0  # the roster's Stamp
+        self.fencing_token = 0
         self.catalog: Catalog | None = None
-        self.format_level = 0  # the forms that all controllers read
-        self.ignored_members: list[str] = []  # but for these, if they come back
+        self.format_level = 0
+        self.ignored_members: list[str] = []
         self.member_versions: dict[str, MemberVersion] = {}
-        self.cell_links: dict[str, CellLink] = {}  # by the other cell's name
-        self.delegated_jobs: dict[JobId, JobRecord] = {}  # our jobs that other cells have
-        self.guest_jobs: dict[JobId, JobRecord] = {}  # other cells' jobs here
-        self.ownership: dict[str, MachineOwnership] = {}  # of machines that were moved
-        self.ownership_changes: dict[str, None] = {}  # since the last look, in order
+        self.cell_links: dict[str, CellLink] = {}
+        self.delegated_jobs: dict[JobId, JobRecord] = {}
+        self.guest_jobs: dict[JobId, JobRecord] = {}
+        self.ownership: dict[str, MachineOwnership] = {}
+        self.ownership_changes: dict[str, None] = {}
         self.moves_in_progress: dict[str, MachineOwnership] = {}
         self.share_requests: dict[str, ShareRequest] = {}
         self.prerequisites = PrerequisiteIndex()
         self.unreadable_keys: set[str] = set()
-        # Records laid over several keys: how many parts each has, parts whose head has
-        # not come yet, and heads whose parts have not.
         self.part_counts: dict[str, int] = {}
+        # Split records that are incomplete: parts whose head has not arrived, and heads with
+        # parts that have not arrived, each with its version.
         self._pending_parts: dict[str, tuple[str, int]] = {}
         self._pending_heads: dict[str, tuple[Any, int]] = {}
-        # Indices, kept up to date by the difference of each change: at hundreds of
-        # machines, building them anew cost more than all decisions together.
+        # Indices are updated by the difference that each change makes: rebuilding them at
+        # hundreds of machines cost more than all scheduling decisions together.
         self.waiting_jobs: dict[JobId, JobRecord] = {}
         self.assigned_tasks: dict[str, dict[tuple[JobId, int], TaskEntry]] = {}
         self.team_usage: dict[str, list[float]] = {}
-        self.cancelled_jobs: dict[JobId, None] = {}  # those that still have tasks
-        self.changed_machines: dict[str, None] = {}  # machines, in order
+        self.cancelled_jobs: dict[JobId, None] = {}
+        self.changed_machines: dict[str, None] = {}
         self._entries_by_machine: dict[str, dict[tuple[JobId, int], TaskEntry]] = {}
         self._loads: dict[str, MachineLoad] = {}
         self._entries: dict[tuple[JobId, int], TaskEntry] = {}
 
     def version_of(self, key: str) -> int:
-        """The revision of a key's record; 0 if there is none."""
-        held = self.records_by_key.get(key)
-        return held.version if held else 0
+        """Return the version of a key's record; 0 if there is none."""
+        known = self.records_by_key.get(key)
+        return known.version if known else 0
 
-    def apply_value(self, key: str, value: Any, stamp: int) -> bool:
-        """Take a key's value; False if it was known or is overtaken."""
+    def apply_value(self, key: str, value: Any, version: int) -> bool:
+        """Apply a key's value as it was read from the state service.
+
+        Returns:
+            Whether the view changed. False also if the same or a newer value is known, if a
+            part of a split record is missing, and if the record is unreadable.
+        """
         if key.startswith(records.ENDING_PREFIX):
             return self._apply_ending(key, value)
         if key.startswith(records.PART_PREFIX):
-            return self._apply_part(key, value, stamp)
-        if stamp <= self.version_of(key) or stamp <= self.removal_versions.get(key, 0):
+            return self._apply_part(key, value, version)
+        if version <= self.version_of(key) or version <= self.removal_versions.get(key, 0):
             return False
-        count = 0
+        part_count = 0
         try:
             head = record_parts.parse_head(value)
             if head is not None:
-                texts = self._collect_texts(key, head, stamp)
+                texts = self._collect_texts(key, head, version)
                 if texts is None:
-                    self._pending_heads[key] = (value, stamp)
+                    self._pending_heads[key] = (value, version)
                     return False
-                value, count = record_parts.join_parts(texts), head.parts
+                value, part_count = record_parts.join_parts(texts), head.parts
             record = codec.decode_record(key, value)
-        except (msgspec.ValidationError, TypeError, ValueError) as wrong:
-            log.error("record %s is not readable: %s", key, wrong)
+        except (msgspec.ValidationError, TypeError, ValueError) as error:
+            log.error("record %s is unreadable: %s", key, error)
             self.unreadable_keys.add(key)
             return False
         if record is None:
             return False
-        if isinstance(record, MachineOwnership) and record.token >= stamp:
-            log.error("record %s has a fencing token from the future", key)
+        if isinstance(record, MachineOwnership) and record.token >= version:
+            log.error("record %s has a fencing token newer than the record itself", key)
             self.unreadable_keys.add(key)
             return False
-        self.store_record(key, record, stamp, count)
+        self.store_record(key, record, version, part_count)
         return True
 
     def _collect_texts(
-        self, key: str, head: record_parts.SplitHead, stamp: int
+        self, key: str, head: record_parts.SplitHead, version: int
     ) -> list[str] | None:
-        """A packed record's texts, or None while a part of the same Stamp is missing."""
+        """Return a split record's texts, or None while a part of the same version is missing."""
         texts = [head.text]
         keys = [record_parts.part_key(key, number) for number in range(1, head.parts + 1)]
         for part in keys:
-            text, at = self._pending_parts.get(part, ("", 0))
-            if at != stamp:
+            text, part_version = self._pending_parts.get(part, ("", 0))
+            if part_version != version:
                 return None
             texts.append(text)
         for part in keys:
             del self._pending_parts[part]
         return texts
 
-    def _apply_part(self, part: str, value: Any, stamp: int) -> bool:
+    def _apply_part(self, part: str, value: Any, version: int) -> bool:
         key = record_parts.head_key(part)
-        if stamp <= self.version_of(key) or stamp <= self.removal_versions.get(key, 0):
-            return False  # its head is known already, from our own commit
-        if not isinstance(value, str) or stamp < self._pending_parts.get(part, ("", 0))[1]:
+        if version <= self.version_of(key) or version <= self.removal_versions.get(key, 0):
+            return False  # the head is known already, from this controller's own commit
+        if not isinstance(value, str) or version < self._pending_parts.get(part, ("", 0))[1]:
             return False
-        self._pending_parts[part] = (value, stamp)
-        waiting = self._pending_heads.get(key)
-        return waiting is not None and self.apply_value(key, *waiting)
+        self._pending_parts[part] = (value, version)
+        head = self._pending_heads.get(key)
+        return head is not None and self.apply_value(key, *head)
 
     def has_missing_parts(self, key: str) -> bool:
-        """True while a newer head of this record waits for its parts."""
+        """Return whether a newer head of this record waits for its parts."""
         return key in self._pending_heads
 
     def _apply_ending(self, key: str, value: Any) -> bool:
         try:
             record = codec.decode_record(key, value)
-        except (msgspec.ValidationError, TypeError) as wrong:
-            log.error("record %s is not readable: %s", key, wrong)
+        except (msgspec.ValidationError, TypeError) as error:
+            log.error("record %s is unreadable: %s", key, error)
             return False
         if isinstance(record, Ending):
             self.remember_ending(key, record)
         return True
 
     def remember_ending(self, key: str, ending: Ending) -> None:
-        """Keep a job's final state, which never changes, in bounded memory."""
+        """Keep a job's final state, which never changes; the oldest ones are forgotten."""
         name = JobId(key.rpartition("/")[2])
         self.endings.pop(name, None)
         self.endings[name] = ending
@@ -200,44 +253,52 @@
             del self.endings[next(iter(self.endings))]
         self._requeue(self.prerequisites.record_ending(name, ending.status, ending.ended_at))
 
-    def _requeue(self, changed: list[JobId]) -> None:
-        """Jobs that what they need has set free, or cancelled with it."""
-        for name in changed:
+    def _requeue(self, job_ids: list[JobId]) -> None:
+        """Update jobs that a prerequisite's ending has unblocked or cancelled."""
+        for name in job_ids:
             job = self.jobs.get(name)
             if job is not None:
                 self._update_waiting(name, job)
 
     def _update_waiting(self, name: JobId, job: JobRecord) -> None:
-        """Does the job have tasks to deal?"""
-        live = job.status == records.LIVE and job.may_start and job.waiting_count > 0
-        if live and not self.prerequisites.is_blocked(name):
+        """Add the job to the waiting jobs if it has tasks to assign, else remove it."""
+        has_tasks = job.status == records.LIVE and job.may_start and job.waiting_count > 0
+        if has_tasks and not self.prerequisites.is_blocked(name):
             self.waiting_jobs[name] = job
         else:
             self.waiting_jobs.pop(name, None)
 
     def eligible_at(self, name: JobId, job: JobRecord) -> float:
-        """The moment from which all but the deadline counts, written yet or not."""
+        """Return the wall-clock time from which waiting is counted, in seconds.
+
+        That is the time at which the last prerequisite was done, or the job was accepted.
+        Deadlines count from the acceptance. The time need not be in the job's record yet.
+        """
         return job.ready_at or self.prerequisites.ready_at.get(name) or job.accepted_at
 
     def prerequisite_status(self, name: JobId) -> int | None:
-        """What is known of a job as one that others need; None: not among what we hold."""
+        """Return the status of a job that others name as a prerequisite.
+
+        A job that is to be cancelled with a prerequisite of its own counts as cancelled. None
+        if the job is not known here, and for jobs of other cells.
+        """
         if self.prerequisites.is_cancelled(name):
             return records.CANCELLED
         if (job := self.jobs.get(name)) is not None:
             return job.status if job.guest is None else None
-        held = self.records_by_key.get(records.job_key(name))
-        if held is not None and isinstance(held.record, Ending):
-            return held.record.status
-        known = self.endings.get(name)
-        return known.status if known is not None else None
-
-    def store_record(self, key: str, record: Struct, stamp: int, parts: int = 0) -> None:
-        """Take a record that is known to be the newest, and how many parts it has."""
-        self.records_by_key[key] = VersionedRecord(record, KeyVersion(stamp))
+        known = self.records_by_key.get(records.job_key(name))
+        if known is not None and isinstance(known.record, Ending):
+            return known.record.status
+        ending = self.endings.get(name)
+        return ending.status if ending is not None else None
+
+    def store_record(self, key: str, record: Struct, version: int, part_count: int = 0) -> None:
+        """Store a record that is known to be the newest, and the number of its parts."""
+        self.records_by_key[key] = VersionedRecord(record, KeyVersion(version))
         self.unreadable_keys.discard(key)
         self._pending_heads.pop(key, None)
-        if parts:
-            self.part_counts[key] = parts
+        if part_count:
+            self.part_counts[key] = part_count
         else:
             self.part_counts.pop(key, None)
         if isinstance(record, JobRecord | Ending):
@@ -253,7 +314,7 @@
         elif isinstance(record, ShareRequest):
             self.share_requests[key.removeprefix(records.SHARE_REQUEST_PREFIX)] = record
         else:
-            self._store_shared(key, record, stamp)
+            self._store_shared(key, record, version)
 
     def _store_job(self, key: str, record: JobRecord | Ending) -> None:
         name = JobId(key.removeprefix(records.JOB_PREFIX))
@@ -267,10 +328,10 @@
         self.endings_to_archive[name] = None
         self.remember_ending(key, record)
 
-    def _store_shared(self, key: str, record: Struct, stamp: int) -> None:
-        """What holds for all controllers: the roster, machine types, and who reads what."""
+    def _store_shared(self, key: str, record: Struct, version: int) -> None:
+        """Store the records shared by all controllers: roster, machine types and versions."""
         if isinstance(record, Roster):
-            self.roster, self.fencing_token = record, stamp
+            self.roster, self.fencing_token = record, version
         elif isinstance(record, Catalog):
             if (
                 key == records.MACHINE_TYPES_KEY
@@ -286,7 +347,7 @@
     def _update_indices(
         self, name: JobId, before: JobRecord | None, after: JobRecord | None
     ) -> None:
-        """Bring the indices from one state of a job to the next."""
+        """Update all indices from one state of a job to the next."""
         self._index_prerequisites(name, before, after)
         self._index_cells(name, after)
         self._index_status(name, after)
@@ -309,7 +370,7 @@
             self.prerequisites.remove_job(name)
 
     def _index_status(self, name: JobId, job: JobRecord | None) -> None:
-        """Is the job cancelled, and has it tasks to deal?"""
+        """Update the indices of cancelled jobs and of jobs with tasks to assign."""
         if job is None:
             self.cancelled_jobs.pop(name, None)
             self.waiting_jobs.pop(name, None)
@@ -325,34 +386,36 @@
     def _index_entries(
         self, name: JobId, before: JobRecord | None, after: JobRecord | None
     ) -> None:
-        """Which tasks have which places; machines of which anything changed are noted."""
-        old = before.entries if before else []
-        new = after.entries if after else []
+        """Update the entries by machine and note the machines of which any entry changed."""
+        old_entries = before.entries if before else []
+        new_entries = after.entries if after else []
         status_changed = before is not None and after is not None and before.status != after.status
-        if old == new and not status_changed:
+        if old_entries == new_entries and not status_changed:
             return
-        had = set(old)
-        has = set(new)
-        for entry in old:
-            if entry not in has:
+        old_set = set(old_entries)
+        new_set = set(new_entries)
+        for entry in old_entries:
+            if entry not in new_set:
                 self._remove_entry(name, entry)
-        for entry in new:
-            if entry not in had:
+        for entry in new_entries:
+            if entry not in old_set:
                 self._add_entry(name, entry)
             elif status_changed:
                 self.changed_machines[entry.machine] = None
 
     def _count_usage(self, before: JobRecord | None, after: JobRecord | None) -> None:
-        """What the job takes of its team's limit."""
-        known = after or before
-        more = (after.quota_task_count if after else 0) - (before.quota_task_count if before else 0)
-        if known is not None and more:
-            used = self.team_usage.setdefault(known.spec.team, [0.0, 0.0])
-            used[0] += known.spec.cpus * more
-            used[1] += known.spec.gpus * more
+        """Update what the job takes of its team's limit."""
+        job = after or before
+        added_tasks = (after.quota_task_count if after else 0) - (
+            before.quota_task_count if before else 0
+        )
+        if job is not None and added_tasks:
+            usage = self.team_usage.setdefault(job.spec.team, [0.0, 0.0])
+            usage[0] += job.spec.cpus * added_tasks
+            usage[1] += job.spec.gpus * added_tasks
 
     def _index_ownership(self, machine: str, record: MachineOwnership | None) -> None:
-        """Who owns the machine, and is it to be handed over?"""
+        """Update who owns the machine and whether it is being moved to another owner."""
         self.ownership_changes[machine] = None
         self.moves_in_progress.pop(machine, None)
         if record is None:
@@ -363,7 +426,7 @@
             self.moves_in_progress[machine] = record
 
     def _index_cells(self, name: JobId, job: JobRecord | None) -> None:
-        """Is the job away, or another cell's?"""
+        """Update the indices of jobs that other cells run and of other cells' jobs."""
         if job is not None and job.is_delegated:
             self.delegated_jobs[name] = job
         else:
@@ -373,23 +436,26 @@
         else:
             self.guest_jobs.pop(name, None)
 
-    def _ended_prerequisites(self, needs: list[str]) -> dict[JobId, tuple[int, float]]:
-        """Of the jobs that one needs, those that are over, and when."""
-        found: dict[JobId, tuple[int, float]] = {}
-        for need in map(JobId, needs):
-            fate = self.prerequisite_status(need)
-            if fate:
-                held = self.records_by_key.get(records.job_key(need))
-                ending = held.record if held else self.endings.get(need)
-                found[need] = (fate, ending.ended_at if isinstance(ending, Ending) else 0.0)
-        return found
+    def _ended_prerequisites(self, prerequisites: list[str]) -> dict[JobId, tuple[int, float]]:
+        """Return the status and time of ending of those prerequisites that have ended."""
+        ended: dict[JobId, tuple[int, float]] = {}
+        for prerequisite in map(JobId, prerequisites):
+            status = self.prerequisite_status(prerequisite)
+            if status:
+                known = self.records_by_key.get(records.job_key(prerequisite))
+                ending = known.record if known else self.endings.get(prerequisite)
+                ended[prerequisite] = (
+                    status,
+                    ending.ended_at if isinstance(ending, Ending) else 0.0,
+                )
+        return ended
 
     def unresolved_prerequisites(self) -> list[JobId]:
-        """Jobs that others need of which we hold nothing: they ended, and have moved."""
+        """Return open prerequisites that are not known here: they ended and were archived."""
         return [
-            need
-            for need in self.prerequisites.open_dependents
-            if self.prerequisite_status(need) is None
+            prerequisite
+            for prerequisite in self.prerequisites.open_dependents
+            if self.prerequisite_status(prerequisite) is None
         ]
 
     def _add_entry(self, name: JobId, entry: TaskEntry) -> None:
@@ -408,31 +474,36 @@
         key = (name, entry.index)
         if self._entries.get(key) == entry:
             del self._entries[key]
-        there = self._entries_by_machine.get(entry.machine, {})
-        if there.get(key) == entry:
-            del there[key]
-            if not there:
+        on_machine = self._entries_by_machine.get(entry.machine, {})
+        if on_machine.get(key) == entry:
+            del on_machine[key]
+            if not on_machine:
                 del self._entries_by_machine[entry.machine]
         self._mark_changed(entry.machine)
         if entry.stage == records.ASSIGNED:
-            dealt = self.assigned_tasks.get(entry.owner, {})
-            if dealt.get(key) == entry:
-                del dealt[key]
+            assigned = self.assigned_tasks.get(entry.owner, {})
+            if assigned.get(key) == entry:
+                del assigned[key]
+
+    def apply_removal(self, key: str, version: int) -> bool:
+        """Apply a key's removal at the revision `version`.
 
-    def apply_removal(self, key: str, stamp: int) -> bool:
-        """Take a removal; False if it is overtaken."""
+        Returns:
+            Whether the view changed. False if a newer value is known, if there was no record,
+            and for a part of a split record.
+        """
         if key.startswith(records.PART_PREFIX):
-            if stamp >= self._pending_parts.get(key, ("", stamp + 1))[1]:
+            if version >= self._pending_parts.get(key, ("", version + 1))[1]:
                 del self._pending_parts[key]
             return False
-        if stamp < self.version_of(key):
+        if version < self.version_of(key):
             return False
         self.unreadable_keys.discard(key)
         self.part_counts.pop(key, None)
-        if key in self._pending_heads and self._pending_heads[key][1] <= stamp:
+        if key in self._pending_heads and self._pending_heads[key][1] <= version:
             del self._pending_heads[key]
         if key.startswith((records.JOB_PREFIX, records.MEMBER_PREFIX, records.OWNERSHIP_PREFIX)):
-            self._remember_removal(key, stamp)
+            self._remember_removal(key, version)
         known = self.records_by_key.pop(key, None)
         self.endings_to_archive.pop(JobId(key.removeprefix(records.JOB_PREFIX)), None)
         if known is None:
@@ -440,17 +511,17 @@
         self._unindex_record(key, known.record)
         return True
 
-    def _remember_removal(self, key: str, stamp: int) -> None:
-        """A removal seen before an older write of the same key must win over it."""
-        self.removal_versions[key] = max(stamp, self.removal_versions.get(key, 0))
+    def _remember_removal(self, key: str, version: int) -> None:
+        """Keep the removal's version: an older write of the key that arrives later is ignored."""
+        self.removal_versions[key] = max(version, self.removal_versions.get(key, 0))
         if len(self.removal_versions) > MAX_REMOVALS:
-            for old in sorted(self.removal_versions, key=self.removal_versions.__getitem__)[
+            for oldest in sorted(self.removal_versions, key=self.removal_versions.__getitem__)[
                 : MAX_REMOVALS // 2
             ]:
-                del self.removal_versions[old]
+                del self.removal_versions[oldest]
 
     def _unindex_record(self, key: str, record: Struct) -> None:
-        """Take a removed record out of the indices."""
+        """Remove a record from the indices."""
         if isinstance(record, JobRecord):
             name = JobId(key.removeprefix(records.JOB_PREFIX))
             self.jobs.pop(name, None)
@@ -469,46 +540,49 @@
             self.share_requests.pop(key.removeprefix(records.SHARE_REQUEST_PREFIX), None)
 
     def entries_on(self, machine: str) -> list[tuple[JobId, TaskEntry]]:
-        """Entries whose place (or, while dealt, hint) is this machine."""
-        there = self._entries_by_machine.get(machine)
-        return [(name, entry) for (name, _), entry in there.items()] if there else []
+        """Return the entries placed on this machine, or assigned with it as a hint."""
+        entries = self._entries_by_machine.get(machine)
+        return [(name, entry) for (name, _), entry in entries.items()] if entries else []
 
     def has_entries_on(self, machine: str) -> bool:
-        """True if any entry names the machine."""
+        """Return whether any entry names the machine."""
         return machine in self._entries_by_machine
 
     def last_change_version(self, key: str) -> int:
-        """The revision of the last change, removals included, that we know of."""
+        """Return the revision of the key's last known change, removals included."""
         return max(self.version_of(key), self.removal_versions.get(key, 0))
 
     def load_of(self, machine: str) -> MachineLoad:
-        """What is taken on a machine, counted again only after a change."""
-        found = self._loads.get(machine)
-        if found is None:
-            there = self._entries_by_machine.get(machine)
-            if not there:
+        """Return the load of a machine; it is computed again only after a change."""
+        load = self._loads.get(machine)
+        if load is None:
+            entries = self._entries_by_machine.get(machine)
+            if not entries:
                 return EMPTY_LOAD
-            found = self._loads[machine] = MachineLoad([self.jobs[name].spec for name, _ in there])
-        return found
+            load = self._loads[machine] = MachineLoad([self.jobs[name].spec for name, _ in entries])
+        return load
 
     def find_entry(self, name: JobId, index: int) -> TaskEntry | None:
-        """A task's entry."""
+        """Return a task's entry, or None if it is not assigned."""
         return self._entries.get((name, index))
 
     def occupied_machines(self) -> list[str]:
-        """Machines with entries."""
+        """Return the machines that have entries."""
         return list(self._entries_by_machine)
 
-    def reload(self, rows: list[tuple[str, Any, int]], ledger: int) -> None:
-        """Replace everything with a full listing that is at least as new as `ledger`."""
-        present = {key for key, _, _ in rows}
+    def reload(self, rows: list[tuple[str, Any, int]], revision: int) -> None:
+        """Replace everything with a full listing that is at least as new as `revision`.
+
+        Each row is a key, its value and its version.
+        """
+        listed_keys = {key for key, _, _ in rows}
         self._pending_parts.clear()
         self._pending_heads.clear()
-        self.unreadable_keys &= present
-        for key in [k for k in self.records_by_key if k not in present]:
-            if self.version_of(key) <= ledger:
-                self.apply_removal(key, ledger)
-        for key, value, stamp in rows:
-            self.apply_value(key, value, stamp)
-        self.revision = ledger
+        self.unreadable_keys &= listed_keys
+        for key in [key for key in self.records_by_key if key not in listed_keys]:
+            if self.version_of(key) <= revision:
+                self.apply_removal(key, revision)
+        for key, value, version in rows:
+            self.apply_value(key, value, version)
+        self.revision = revision
         self.is_loaded = True
