--- a/coursefold/storage/queue.py
+++ b/coursefold/storage/queue.py
@@ -1,16 +1,16 @@
-"""The commit queue: edits in, transactions out.
-
-An edit is a function from the current record to the next one, so it can be
-tried again after a conflict and is dropped when it no longer applies. Edits of
-one key are applied together, and many keys share a transaction; leases,
-cancellations and accepts come before everything else. The queue does no I/O:
-`next_batch` gives what to send, `finished` takes what came of it.
-
-The state service may lower its limits without notice. A transaction refused for its
-size or its number of changes was not carried out: the lower limits are taken at once
-and the same edits are formed anew. Until every controller can read records laid over
-several keys, one that is too large for the lower limits cannot be written at all; edits
-that do not make it larger wait until it can.
+"""The commit queue: collects edits of records and forms transactions from them.
+
+An edit is a function from the current record to the next one, so it can be tried again after
+a conflict and is dropped when it no longer applies. Edits of one key are applied together, and
+many keys share a transaction; leases, cancellations and accepted jobs come before everything
+else. The queue does no I/O: `next_batch` returns what to send, and the `handle_...` methods
+take the response.
+
+The state service may lower its limits without notice. A transaction refused for its size or
+its number of changes was not carried out: the lower limits are adopted at once and new
+transactions are formed from the same edits. Until every controller can read records that are
+split over several keys, one that is too large for the lower limits cannot be written at all;
+edits that do not make it larger wait until it can.
 """
 
 import logging
@@ -36,12 +36,26 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONFLICTS = 8  # of one edit; then its proposer looks at the record anew
-MAX_TRIES = 1000  # refusals and missing answers included: minutes of an outage
+MAX_CONFLICTS = 8  # per edit; after that its proposer decides anew from the current record
+MAX_TRIES = 1000  # per edit, including refusals and missing responses: minutes of an outage
 
 
 class CommitQueue:
-    """Edits waiting and under way."""
+    """Edits that wait or are in flight.
+
+    Attributes:
+        limits: The limits of the state service under which transactions are formed.
+        later_limits: Limits that the service may adopt without notice; None if there are none.
+        oversized_edits: Edits of records that are too large until the format level allows
+            splitting, by key.
+        wall_time: The current wall-clock time in seconds, set by the caller.
+        waiting_edits: Edits that wait, by key.
+        in_flight: Keys of transactions that have been sent and not answered.
+        stale: Keys to be read again before they can be written.
+        pending_tags: Keys and tags of edits that wait or are in flight; a second edit with the
+            same key and tag is not queued.
+        has_new_edits: Whether an edit was proposed since the caller last reset this.
+    """
 
     def __init__(
         self,
@@ -60,27 +74,30 @@
         self.waiting_edits: dict[str, list[Edit]] = {}
         self.in_flight: set[str] = set()
         self.stale: set[str] = set()
-        # The service counts all nodes' changes together. Leases, accepts and cancellations
-        # have a budget of their own, so that no backlog of other work delays them.
+        # The service counts the changes of all controllers together. Leases, accepted jobs and
+        # cancellations have a budget of their own, so that no backlog of other work delays them.
         self.priority_budget = TokenBucket(write_rps * 0.5, max(2.0, write_rps * 0.5))
         self.bulk_budget = TokenBucket(write_rps * 0.8, max(2.0, write_rps * 0.6))
         self.paused_until = MonotonicTime(0.0)
         self.pending_tags: set[tuple[str, str]] = set()
-        self.has_new_edits = False  # something was proposed since the last look
+        self.has_new_edits = False
 
     def set_rate_share(self, is_leader: bool, controller_count: int) -> None:
-        """Our part of the rate: the leader writes for all, others little but accepts."""
-        others = min(0.12, 0.3 / max(1, controller_count - 1))
-        part = 0.85 - others * (controller_count - 1) if is_leader else others
+        """Set this controller's share of the service's write rate.
+
+        The leader gets most of it, for it writes for all; the others write little besides
+        accepted jobs. Once the format level allows it, the later size limits are adopted too
+        and edits that were too large are queued again.
+        """
+        other_share = min(0.12, 0.3 / max(1, controller_count - 1))
+        share = 0.85 - other_share * (controller_count - 1) if is_leader else other_share
         rate = self.limits.write_rps
-        self.bulk_budget.rate = rate * part
-        self.bulk_budget.burst = max(3.0, rate * part * 0.6)
+        self.bulk_budget.rate = rate * share
+        self.bulk_budget.burst = max(3.0, rate * share * 0.6)
         self.priority_budget.rate = rate * 0.5
         self.priority_budget.burst = max(2.0, rate * 0.5)
         if self.view.format_level:
-            self._apply_later_limits(
-                sizes=True
-            )  # what is written from the switch on fits either way
+            self._apply_later_limits(sizes=True)  # records written from now on fit both limits
             for key in list(self.oversized_edits):
                 self.waiting_edits[key] = [
                     *self.oversized_edits.pop(key),
@@ -88,38 +105,46 @@
                 ]
 
     def _apply_later_limits(self, *, sizes: bool = False, rate: bool = False) -> None:
-        """Take the limits to come, or a part of them, if there are any."""
+        """Adopt the later limits or a part of them, if there are any."""
         if self.later_limits is None:
             return
-        now = self.limits
+        limits = self.limits
         if sizes:
-            now = now._replace(
+            limits = limits._replace(
                 txn_ops=self.later_limits.txn_ops, value_bytes=self.later_limits.value_bytes
             )
         if rate:
-            now = now._replace(write_rps=self.later_limits.write_rps)
-        if now != self.limits:
-            self.limits = now
-            log.info("limits of the state service: %s", now)
+            limits = limits._replace(write_rps=self.later_limits.write_rps)
+        if limits != self.limits:
+            self.limits = limits
+            log.info("adopted new limits of the state service: %s", limits)
 
     def max_parts(self) -> int:
-        """Keys of one record; some are left for what has to go with it."""
+        """Return how many keys one record may take; some changes are left for what goes with it."""
         return max(1, min(self.limits.txn_ops - 1, 16))
 
     def has_spare_rate(self, now: MonotonicTime) -> bool:
-        """True if there is room for what is never urgent."""
+        """Return whether there is spare rate for edits that are never urgent."""
         return (
             not self.waiting_edits and self.bulk_budget.refill(now) >= 0.95 * self.bulk_budget.burst
         )
 
     def count_urgent_keys(self) -> int:
-        """Keys that wait with acceptances, cancellations or what membership needs."""
+        """Return the number of keys with waiting edits of high priority.
+
+        These are accepted jobs, cancellations and membership changes.
+        """
         return sum(
-            any(e.priority == HIGH_PRIORITY for e in edits) for edits in self.waiting_edits.values()
+            any(edit.priority == HIGH_PRIORITY for edit in edits)
+            for edits in self.waiting_edits.values()
         )
 
     def claim_tag(self, edit: Edit) -> bool:
-        """Reserve an edit's tag while it is under way elsewhere."""
+        """Claim an edit's tag while another controller processes the edit.
+
+        Returns:
+            Whether the edit may go ahead; False if one with the same tag is pending.
+        """
         if edit.tag:
             if (edit.key, edit.tag) in self.pending_tags:
                 return False
@@ -127,15 +152,15 @@
         return True
 
     def release_tag(self, edit: Edit) -> None:
-        """It is not under way elsewhere any more."""
+        """Release an edit's tag that was claimed."""
         self.pending_tags.discard((edit.key, edit.tag))
 
     def settle(self, edit: Edit, ok: bool, why: str) -> None:
-        """What became of a claimed edit elsewhere."""
+        """Settle a claimed edit with the outcome that another controller reported."""
         self._settle(edit, ok, why)
 
     def propose(self, edit: Edit) -> bool:
-        """Queue an edit; False if one with the same tag waits already."""
+        """Queue an edit; return False if one with the same tag is pending already."""
         if not self.claim_tag(edit):
             return False
         self.waiting_edits.setdefault(edit.key, []).append(edit)
@@ -143,7 +168,7 @@
         return True
 
     def is_busy(self, key: str) -> bool:
-        """True while edits of the key wait or fly."""
+        """Return whether edits of the key wait or are in flight."""
         return key in self.waiting_edits or key in self.in_flight
 
     def _settle(self, edit: Edit, ok: bool, why: str = "") -> None:
@@ -152,11 +177,11 @@
         edit.settle(ok, why)
 
     def stale_keys(self) -> list[str]:
-        """Keys to be read again before they can be written."""
+        """Return the keys that have to be read again before they can be written."""
         return sorted(self.stale)
 
     def mark_refreshed(self, key: str) -> None:
-        """The key was read again."""
+        """Note that the key has been read again."""
         self.stale.discard(key)
 
     def _build_result(
@@ -164,18 +189,26 @@
     ) -> tuple[list[Edit], EditResult | None]:
         """Apply a key's edits to its record; those that do not apply are settled.
 
-        An edit that fails only because of another in the same transaction waits
-        for the outcome: a second cancellation must not be answered "cancelled"
-        before the first one is written.
+        An edit that fails only because of another one in the same transaction waits for its
+        outcome: a second cancellation must not be answered "cancelled" before the first one is
+        written.
+
+        Args:
+            key: The key of the record.
+            edits: The edits in order.
+            one_by_one: Whether to check the size after each edit, to find out which ones fit.
+
+        Returns:
+            The edits that apply, and the result of all of them; None if none applies.
         """
-        held = self.view.records_by_key.get(key)
-        before: Struct | None = held.record if held else None
+        known = self.view.records_by_key.get(key)
+        before: Struct | None = known.record if known else None
         if key in self.view.unreadable_keys:
-            # Whatever it is, it is not ours to overwrite.
+            # A record that this version cannot read must not be overwritten.
             for edit in edits:
                 self._settle(edit, False, "unreadable")
             return [], None
-        kept: list[Edit] = []
+        applied: list[Edit] = []
         deferred: list[Edit] = []
         result: EditResult | None = None
         current = before
@@ -183,7 +216,7 @@
             if isinstance(result, (ArchiveEnding, DeleteKey, records.Ending)):
                 deferred.append(edit)
                 continue
-            outcome = self._apply_edit(edit, current, deferred if kept else None)
+            outcome = self._apply_edit(edit, current, deferred if applied else None)
             if outcome is None:
                 continue
             if one_by_one and self._is_too_large(outcome):
@@ -194,39 +227,42 @@
             result = outcome
             if isinstance(outcome, Struct):
                 current = outcome
-            kept.append(edit)
+            applied.append(edit)
         if not one_by_one and self._is_too_large(result):
-            # Rare: find out which edits fit. Measuring after each one costs too much.
-            return self._build_result(key, [*kept, *deferred], one_by_one=True)
+            # Rare: find out which edits fit. Checking the size after each edit costs too much.
+            return self._build_result(key, [*applied, *deferred], one_by_one=True)
         if deferred:
             self.waiting_edits[key] = deferred
-        return kept, result
+        return applied, result
 
     def _apply_edit(
         self, edit: Edit, current: Struct | None, deferred: list[Edit] | None
     ) -> EditResult | None:
-        """An edit's outcome; None if it does not apply, and is settled or, if it may, deferred."""
+        """Return an edit's result, or None if it does not apply.
+
+        An edit that does not apply is added to `deferred`, or settled if that is None.
+        """
         if edit.fencing_token is not None and edit.fencing_token != self.view.fencing_token:
             self._settle(edit, False, "fenced")
             return None
         try:
             return edit.change(current)
-        except NotApplicableError as why:
+        except NotApplicableError as error:
             if deferred is not None:
                 deferred.append(edit)
             else:
-                self._settle(edit, False, str(why) or "void")
+                self._settle(edit, False, str(error) or "void")
             return None
 
     def _set_aside(self, edit: Edit, before: Struct | None, outcome: EditResult) -> None:
-        """An edit whose record is too large: it waits if it makes the record smaller."""
+        """Keep an edit of a too large record if it does not make it larger, else settle it."""
         if self._is_not_larger(before, outcome):
             self.oversized_edits.setdefault(edit.key, []).append(edit)
         else:
             self._settle(edit, False, "too large")
 
     def _is_too_large(self, result: EditResult | None) -> bool:
-        """True if the record cannot be written within the service's limits."""
+        """Return whether the record cannot be written within the service's limits."""
         if not isinstance(result, (JobRecord, records.PoolRecord)):
             return False
         value = codec.encode_record(result, self.view.format_level)
@@ -239,9 +275,10 @@
         )
 
     def _is_not_larger(self, before: Struct | None, result: EditResult) -> bool:
-        """Does an edit make a record smaller that is too large as it is?
+        """Return whether the result of a job's edit is not larger than the job's record before.
 
-        It must not get lost: the task that it says has ended would stay for ever.
+        Such an edit must not get lost even if the record is too large: the task whose ending it
+        records would stay in the record for ever.
         """
         return (
             isinstance(before, JobRecord)
@@ -251,97 +288,110 @@
         )
 
     def next_batch(self, now: MonotonicTime) -> Batch | None:
-        """The next transaction, or None if nothing can go now."""
+        """Return the next transaction to send, or None if nothing can be sent now."""
         if now < self.paused_until or not self.waiting_edits:
             return None
-        ready = [k for k in self.waiting_edits if k not in self.in_flight and k not in self.stale]
+        ready = [
+            key for key in self.waiting_edits if key not in self.in_flight and key not in self.stale
+        ]
         if not ready:
             return None
-        bulk = int(self.bulk_budget.refill(now))
-        urgent = max(bulk, int(self.priority_budget.refill(now)))
-        if urgent < 1:
-            return None  # before a long backlog is sorted for nothing
-        ranks = {k: min(e.priority for e in self.waiting_edits[k]) for k in ready}
-        ready.sort(key=ranks.__getitem__)
-        draft = BatchBuilder(self.view, self.limits)
+        bulk_writes = int(self.bulk_budget.refill(now))
+        priority_writes = max(bulk_writes, int(self.priority_budget.refill(now)))
+        if priority_writes < 1:
+            return None  # avoids sorting a long backlog when nothing can be sent
+        priorities = {key: min(edit.priority for edit in self.waiting_edits[key]) for key in ready}
+        ready.sort(key=priorities.__getitem__)
+        builder = BatchBuilder(self.view, self.limits)
         for key in ready:
-            room = urgent if ranks[key] == HIGH_PRIORITY else bulk
-            if not draft.may_add_key(room):
+            max_writes = priority_writes if priorities[key] == HIGH_PRIORITY else bulk_writes
+            if not builder.may_add_key(max_writes):
                 break
-            if draft.has_same_fencing(self.waiting_edits[key]) and not self._add_key(draft, key):
+            if builder.has_same_fencing(self.waiting_edits[key]) and not self._add_key(
+                builder, key
+            ):
                 break
-        if not draft.writes:
+        if not builder.writes:
             return None
-        first = sum(1 for key in draft.results if ranks[key] == HIGH_PRIORITY)
-        self.priority_budget.spend(now, min(first, self.priority_budget.available))
-        self.bulk_budget.spend(now, len(draft.writes) - min(first, len(draft.writes)))
-        self.in_flight.update(draft.results)
-        return draft.build()
-
-    def _add_key(self, draft: BatchBuilder, key: str) -> bool:
-        """Add a key's edits to a transaction; False if it is full."""
+        priority_keys = sum(1 for key in builder.results if priorities[key] == HIGH_PRIORITY)
+        self.priority_budget.spend(now, min(priority_keys, self.priority_budget.available))
+        self.bulk_budget.spend(now, len(builder.writes) - min(priority_keys, len(builder.writes)))
+        self.in_flight.update(builder.results)
+        return builder.build()
+
+    def _add_key(self, builder: BatchBuilder, key: str) -> bool:
+        """Add a key's edits to a transaction; return False if it is full."""
         edits, result = self._build_result(key, self.waiting_edits.pop(key))
         if result is None:
             return True
-        change = draft.make_change(key, result, edits[-1].lease_id)
-        if draft.fits(change):
-            draft.add(key, edits, result, change)
+        change = builder.make_change(key, result, edits[-1].lease_id)
+        if builder.fits(change):
+            builder.add(key, edits, result, change)
             return True
         self.waiting_edits[key] = [*edits, *self.waiting_edits.get(key, [])]
-        return not draft.exceeds_size(change)  # something smaller may still fit
+        return not builder.exceeds_size(change)  # a smaller change may still fit
 
-    def handle_success(self, batch: Batch, ledger: int) -> None:
-        """The transaction was carried out at this revision."""
+    def handle_success(self, batch: Batch, revision: int) -> None:
+        """Handle the success of a transaction, which was carried out at this revision."""
         for key, result in batch.results.items():
             self.in_flight.discard(key)
             if isinstance(result, (DeleteKey, ArchiveEnding)):
-                self.view.apply_removal(key, ledger)
+                self.view.apply_removal(key, revision)
                 if isinstance(result, ArchiveEnding):
                     self.view.remember_ending(key, result.ending)
-            elif ledger > self.view.version_of(key):
-                self.view.store_record(key, result, ledger, batch.part_counts.get(key, 0))
+            elif revision > self.view.version_of(key):
+                self.view.store_record(key, result, revision, batch.part_counts.get(key, 0))
         for edit in batch.edits:
             self._settle(edit, True)
 
-    def handle_conflict(self, batch: Batch, failed: list[str]) -> None:
-        """Nothing was carried out: read the failed keys again, then try the edits again."""
-        self.stale.update(k.replace(records.ENDING_PREFIX, records.JOB_PREFIX, 1) for k in failed)
+    def handle_conflict(self, batch: Batch, failed_keys: list[str]) -> None:
+        """Handle a conflict (409): nothing was carried out.
+
+        The keys whose conditions failed are read again, then the edits are tried again.
+        """
+        self.stale.update(
+            key.replace(records.ENDING_PREFIX, records.JOB_PREFIX, 1) for key in failed_keys
+        )
         for edit in batch.edits:
             edit.conflict_count += 1
         self._retry(batch)
 
-    def handle_refusal(self, batch: Batch, now: MonotonicTime, pause: float) -> None:
-        """Nothing was carried out (429, 503): the same again after a pause."""
-        self.paused_until = MonotonicTime(now + pause)
+    def handle_refusal(self, batch: Batch, now: MonotonicTime, pause_s: float) -> None:
+        """Handle a refusal (429, 503): nothing was carried out; try again after a pause."""
+        self.paused_until = MonotonicTime(now + pause_s)
         self._retry(batch)
 
-    def handle_missing_response(self, batch: Batch, now: MonotonicTime, pause: float) -> None:
-        """No answer: it may have been carried out, or may yet be; read again first."""
+    def handle_missing_response(self, batch: Batch, now: MonotonicTime, pause_s: float) -> None:
+        """Handle a missing response: the transaction may have been carried out, or may yet be.
+
+        Its keys are read again before the edits are tried again after a pause.
+        """
         self.stale.update(batch.results)
-        self.paused_until = MonotonicTime(now + pause)
+        self.paused_until = MonotonicTime(now + pause_s)
         self._retry(batch)
 
     def handle_rate_refusal(self) -> None:
-        """Over the rate (429): after the switch the lower one may have come.
+        """Handle a refusal for the rate (429): adopt the later rate limit from format level 1 on.
 
-        Before it, a burst of our own is the likelier cause.
+        At level 0 a burst of this controller's own changes is the likelier cause.
         """
         if self.view.format_level:
             self._apply_later_limits(rate=True)
 
     def _exceeds(self, batch: Batch, limits: StateServiceLimits) -> bool:
-        """Would this transaction be too much under these limits?"""
+        """Return whether the transaction exceeds these limits."""
         return batch.write_count > limits.txn_ops or any(
-            codec.json_size_bytes(op["Value"]) > limits.value_bytes
-            for op in batch.body["Then"]
-            if "Value" in op
+            codec.json_size_bytes(write["Value"]) > limits.value_bytes
+            for write in batch.body["Then"]
+            if "Value" in write
         )
 
     def handle_lost_lease(self, batch: Batch) -> None:
-        """Refused because our lease has ended: that says nothing of the other edits.
+        """Handle a refusal because this controller's lease has ended.
 
-        Seen in a drawn day of the tests: an acceptance that shared the transaction in which
-        its node joined was answered 400, which its user takes for the last word.
+        It says nothing about edits without a lease, so only those with one are settled and the
+        others are tried again. An accepted job that shares the transaction in which its controller joins would otherwise be
+        answered 400, which its user takes as final.
         """
         for edit in batch.edits:
             if edit.lease_id is not None:
@@ -350,10 +400,11 @@
         self._retry(batch._replace(edits=rest))
 
     def handle_invalid(self, batch: Batch) -> None:
-        """Refused as malformed: nothing was carried out, and the same would fare no better.
+        """Handle a refusal as malformed: nothing was carried out, and a retry would fail too.
 
-        What is beyond the limits to come shows that they have come: its edits are formed
-        anew. All else is settled, and so is what was formed under these very limits.
+        If the transaction exceeds the later limits, these are taken as in force, and new
+        transactions are formed from its edits. All other edits are settled, and so are those of
+        a transaction that was formed under the later limits already.
         """
         if self.later_limits is not None and self._exceeds(batch, self.later_limits):
             self._apply_later_limits(sizes=True, rate=True)
@@ -367,7 +418,7 @@
             self._settle(edit, False, "refused")
 
     def _retry(self, batch: Batch) -> None:
-        """Try edits again, but for those that met too many conflicts, or that nothing helps."""
+        """Queue edits again, and settle those with too many conflicts or tries."""
         for key in batch.results:
             self.in_flight.discard(key)
         for edit in reversed(batch.edits):
@@ -378,21 +429,21 @@
                 self.waiting_edits.setdefault(edit.key, []).insert(0, edit)
 
     def settle_ended_job(self, key: str) -> None:
-        """The key's job has an ending: nothing waiting for it applies any more."""
+        """Settle the waiting edits of a key whose job has ended; none of them applies any more."""
         self.stale.discard(key)
         for edit in self.waiting_edits.pop(key, []):
             self._settle(edit, False, "over")
 
     def abandon_edits(self, is_abandoned: Callable[[Edit], bool]) -> None:
-        """Settle the waiting edits that the caller no longer wants."""
+        """Settle the waiting edits for which `is_abandoned` returns True."""
         for key in list(self.waiting_edits):
-            keep = []
+            kept = []
             for edit in self.waiting_edits[key]:
                 if is_abandoned(edit):
                     self._settle(edit, False, "abandoned")
                 else:
-                    keep.append(edit)
-            if keep:
-                self.waiting_edits[key] = keep
+                    kept.append(edit)
+            if kept:
+                self.waiting_edits[key] = kept
             else:
                 del self.waiting_edits[key]
