--- a/coursefold/storage/view.py
+++ b/coursefold/storage/view.py
@@ -94,7 +94,8 @@
         jobs: Live jobs, and cancelled ones that still have tasks.
         members: Live controllers by name.
         pools: Pools by the last part of their key.
-        removal_versions: Per removed key, the revision of its removal.
+        removal_versions: Per removed key of a job, controller or machine ownership, the
+            revision of its removal.
         endings: Final states of ended jobs, the most recent ones.
         endings_to_archive: Ended jobs whose final record still has its live key.
         is_loaded: Whether a full listing has been read.
@@ -107,8 +108,8 @@
             raised without them; they may come back with a version that reads older formats.
         member_versions: What each controller's process can read and write.
         cell_links: Grants to and from other cells, by the cell's name.
-        delegated_jobs: Jobs of this cell that other cells run.
-        guest_jobs: Jobs of other cells that run here.
+        delegated_jobs: Jobs of this cell that were handed to other cells.
+        guest_jobs: Jobs of other cells that were handed to this one.
         ownership: The owners of machines that were moved, by machine.
         ownership_changes: Machines whose ownership record changed and has not been processed.
         moves_in_progress: Ownership records of machines that are being drained for a move.
