--- a/coursefold/storage/queue.py
+++ b/coursefold/storage/queue.py
@@ -390,8 +390,8 @@
         """Handle a refusal because this controller's lease has ended.
 
         It says nothing about edits without a lease, so only those with one are settled and the
-        others are tried again. An accepted job that shares the transaction in which its controller joins would otherwise be
-        answered 400, which its user takes as final.
+        others are tried again. An accepted job that shares the transaction in which its
+        controller joins would otherwise be answered 400, which its user takes as final.
         """
         for edit in batch.edits:
             if edit.lease_id is not None:
--- a/coursefold/storage/records.py
+++ b/coursefold/storage/records.py
@@ -8,19 +8,11 @@
 size of one value, which are compressed and split over several keys (`record_parts`).
 """
 
-
-
-from coursefold.protocol.ids import JobId
-from coursefold.protocol.ids import Key
-from coursefold.protocol.ids import MemberName
-from coursefold.protocol.wire import Job
-from coursefold.storage.cell_records import Delegation
-from coursefold.storage.cell_records import DelegationStage
-from coursefold.storage.cell_records import Guest
-from coursefold.storage.cell_records import GuestStage
 from msgspec import Struct
 
-
+from coursefold.protocol.ids import JobId, Key, MemberName
+from coursefold.protocol.wire import Job
+from coursefold.storage.cell_records import Delegation, DelegationStage, Guest, GuestStage
 
 ROOT = "cf/"
 ROSTER_KEY = Key("cf/roster")
