--- a/coursefold/coordination/cancellations.py
+++ b/coursefold/coordination/cancellations.py
@@ -101,8 +101,8 @@
             ctx.peer_cancellations[name] = item.stamp
     if (
         message.since <= ctx.view.revision  # the own records have all that the message leaves out
-        and message.roster
-        <= ctx.view.fencing_token  # else the machines may have another owner by now
+        # else the machines may have another owner by now
+        and message.roster <= ctx.view.fencing_token
         and _is_known_process(ctx, peer)
     ):
         peer.cancellations_known_until = max(peer.cancellations_known_until, sent_at)
