--- a/coursefold/storage/records.py
+++ b/coursefold/storage/records.py
@@ -5,7 +5,7 @@
 
 Forms of records that version 0.1 cannot read are written only once every controller can read them
 (`FormatLevel`): the time in an ending, the second form of the roster, and records that exceed the
-size of one value, which are compressed and split over several keys (`spreading`).
+size of one value, which are compressed and split over several keys (`record_parts`).
 """
 
 from msgspec import Struct
