--- a/coursefold/service.py
+++ b/coursefold/service.py
@@ -22,7 +22,7 @@
 from coursefold.protocol.ids import JobId, MonotonicTime, WallTime
 from coursefold.protocol.wire import DirectCommands, KeyRow, WatchResponse, encode
 from coursefold.settings import Settings
-from coursefold.storage import codec, records, spreading
+from coursefold.storage import codec, record_parts, records
 from coursefold.storage.batches import Batch
 from coursefold.storage.records import Ending, ending_key
 from coursefold.transport.http_client import HttpClient, NoResponseError
@@ -219,8 +219,8 @@
             elif isinstance(effect, NotifyPeers):
                 for member in effect.members:
                     self.peer_senders[member].wake_event.set()
-        if self.core.queue.fresh:
-            self.core.queue.fresh = False
+        if self.core.queue.has_new_edits:
+            self.core.queue.has_new_edits = False
             self.commit_requested.set()
 
     def _request_tick(self) -> None:
@@ -404,10 +404,10 @@
         self._enter_core()
         for update in changes.updates:
             if update.set_key is not None:
-                view.put(update.set_key, update.value, update.version)
+                view.apply_value(update.set_key, update.value, update.version)
             elif update.removed_key is not None:
-                view.drop(update.removed_key, update.version)
-        view.ledger = max(view.ledger, changes.revision)
+                view.apply_removal(update.removed_key, update.version)
+        view.revision = max(view.revision, changes.revision)
         ctx.watch_ok_at = max(ctx.watch_ok_at, sent_at)
         if changes.updates:
             self._request_tick()
@@ -438,7 +438,7 @@
         """Return all changes that the view lacks; retried when over the rate limit (429)."""
         for attempt in range(4):
             try:
-                changes = await self.state_client.watch(records.ROOT, self.core.view.ledger, 0)
+                changes = await self.state_client.watch(records.ROOT, self.core.view.revision, 0)
                 if changes is not None:
                     return changes
                 raise UnavailableError("the view's revision is too old to watch from", 0)
@@ -463,7 +463,7 @@
         queue = self.core.queue
         while True:
             try:
-                async with asyncio.timeout(0.1 if queue.waiting else 1.0):
+                async with asyncio.timeout(0.1 if queue.waiting_edits else 1.0):
                     await self.commit_requested.wait()
             except TimeoutError:
                 pass
@@ -488,24 +488,24 @@
             outcome = await self.state_client.commit(batch.body)
             self._enter_core()
             if outcome.is_committed:
-                queue.applied(batch, outcome.revision)
+                queue.handle_success(batch, outcome.revision)
             elif outcome.is_malformed:
                 if outcome.is_lease_missing:
                     self.core.ctx.lease_id = 0  # makes `_hold_lease` create a new one
-                    queue.lease_gone(batch)
+                    queue.handle_lost_lease(batch)
                 else:
-                    queue.invalid(batch)
+                    queue.handle_invalid(batch)
             else:
-                queue.conflicted(batch, outcome.failed_keys)
+                queue.handle_conflict(batch, outcome.failed_keys)
         except UnavailableError as error:
             self._enter_core()
             log.debug("commit failed: %s", error)
             if error.status == 429:
-                queue.slower()
+                queue.handle_rate_refusal()
             if error.status in (429, 503):
-                queue.refused(batch, read_clock(), add_jitter(0.25))
+                queue.handle_refusal(batch, read_clock(), add_jitter(0.25))
             else:
-                queue.unknown(batch, read_clock(), add_jitter(0.3))
+                queue.handle_missing_response(batch, read_clock(), add_jitter(0.3))
         finally:
             self.commits_in_flight -= 1
         self.commit_requested.set()
@@ -524,29 +524,29 @@
             if row is not None:
                 parts: list[KeyRow] = []
                 if isinstance(row.value, dict):
-                    parts, _ = await self.state_client.list_rows(spreading.parts_prefix(key))
+                    parts, _ = await self.state_client.list_rows(record_parts.part_key_prefix(key))
                 self._enter_core()
-                view.put(key, row.value, row.version)
+                view.apply_value(key, row.value, row.version)
                 for part in parts:
-                    view.put(part.key, part.value, part.version)
+                    view.apply_value(part.key, part.value, part.version)
                 # Parts of a later version belong to a newer head, so the key has to be read again.
-                if not view.incomplete(key):
-                    queue.refreshed(key)
+                if not view.has_missing_parts(key):
+                    queue.mark_refreshed(key)
             elif key.startswith(records.JOB_PREFIX):
                 ended = await self.state_client.get_row(
                     key.replace(records.JOB_PREFIX, records.ENDING_PREFIX, 1)
                 )
                 self._enter_core()
                 if ended is not None:
-                    view.drop(key, ended.version)
-                    queue.over(key)
+                    view.apply_removal(key, ended.version)
+                    queue.settle_ended_job(key)
                 else:
-                    queue.refreshed(key)
+                    queue.mark_refreshed(key)
             else:
                 self._enter_core()
-                known = view.stamp(key)
-                view.drop(key, known)
-                queue.refreshed(key)
+                known = view.version_of(key)
+                view.apply_removal(key, known)
+                queue.mark_refreshed(key)
         except UnavailableError as error:
             log.debug("reading a key failed: %s", error)
             return False
