--- a/coursefold/client.py
+++ b/coursefold/client.py
@@ -1,4 +1,4 @@
-"""Requests of the command line to a controller."""
+"""HTTP client that the command line uses to talk to a controller."""
 
 import asyncio
 import json
@@ -15,56 +15,68 @@
 
 
 class RequestError(Exception):
-    """One plain line of why there is no success."""
+    """A request that failed or got no response; the message is one line for the user."""
 
 
 class JobDescriptionError(Exception):
-    """A job description that can't be read."""
+    """A job description file that cannot be read or parsed."""
 
 
 def read_job_description(path: Path) -> dict[str, Any]:
-    """A job's fields from TOML, or JSON where the name ends in .json."""
+    """Read a job's fields from a file: JSON if its name ends in .json, TOML otherwise.
+
+    Raises:
+        JobDescriptionError: The file cannot be read, or does not hold a table of fields.
+    """
     try:
         text = path.read_text(encoding="utf-8")
         body = json.loads(text) if path.suffix == ".json" else tomllib.loads(text)
-    except OSError as wrong:
-        raise JobDescriptionError(f"{path}: {wrong.strerror}") from None
-    except ValueError as wrong:
-        raise JobDescriptionError(f"{path}: {wrong}") from None
+    except OSError as error:
+        raise JobDescriptionError(f"{path}: {error.strerror}") from None
+    except ValueError as error:
+        raise JobDescriptionError(f"{path}: {error}") from None
     if not isinstance(body, dict):
         raise JobDescriptionError(f"{path}: not a table of fields")
     return body
 
 
 def fetch_health(node: str) -> dict[str, Any]:
-    """What a controller says of itself, well or not."""
+    """Return the body of a controller's /healthz, whether it is healthy or not.
+
+    Raises:
+        RequestError: The controller does not respond.
+    """
     return _fetch(node, "GET", "/healthz")[1]
 
 
 def send_request(
     node: str, method: str, path: str, body: dict[str, Any] | None = None
 ) -> dict[str, Any]:
-    """The answer of a successful request."""
-    status, answer = _fetch(node, method, path, body)
+    """Send a request and return the body of the response.
+
+    Raises:
+        RequestError: There is no response, or its status is neither 200 nor 201.
+    """
+    status, response = _fetch(node, method, path, body)
     if status not in (200, 201):
-        why = answer.get("error") or "no reason given"
-        raise RequestError(f"{status}: {why}")
-    return answer
+        reason = response.get("error") or "no reason given"
+        raise RequestError(f"{status}: {reason}")
+    return response
 
 
 def _fetch(
     node: str, method: str, path: str, body: dict[str, Any] | None = None
 ) -> tuple[int, dict[str, Any]]:
-    async def once() -> tuple[int, bytes]:
+    async def fetch_once() -> tuple[int, bytes]:
         payload = None if body is None else encode(body)
         return await HttpClient(node, 1).fetch(method, path, payload, REQUEST_TIMEOUT_S)
 
     try:
-        status, raw = asyncio.run(once())
-    except NoAnswerError as wrong:
-        raise RequestError(f"{node} does not answer: {wrong}") from None
+        status, content = asyncio.run(fetch_once())
+    except NoAnswerError as error:
+        raise RequestError(f"{node} does not answer: {error}") from None
     try:
-        answer = msgspec.msgpack.decode(raw)
+        decoded = msgspec.msgpack.decode(content)
     except msgspec.MsgspecError:
-        answer = {}
-    return status, answer if isinstance(answer, dict) else {}
+        decoded = {}
+    return status, decoded if isinstance(decoded, dict) else {}
--- a/coursefold/settings.py
+++ b/coursefold/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, read and checked before anything else happens."""
+"""The settings file of a controller, read and validated before the service starts."""
 
 import math
 import tomllib
@@ -12,18 +12,18 @@
 PositiveFloat = Annotated[float, Meta(gt=0, le=1e6)]
 NonNegativeFloat = Annotated[float, Meta(ge=0, le=1e9)]
 MIN_VALUE_KB = 0.5
-CANCEL_MARGIN_S = 5.0  # beyond a lease: the state service's next news may take 4 s
-CLOCK_DRIFT_FACTOR = 1.002  # two clocks may each be off by 0.05%; this is twice that and more
+CANCEL_MARGIN_S = 5.0  # on top of a lease: the state service's next update may take 4 s
+CLOCK_DRIFT_FACTOR = 1.002  # each of two clocks may drift by 0.05%; this is twice their sum
 T = TypeVar("T")
 ShortName = Annotated[str, Meta(min_length=1, max_length=100)]
 
 
 class SettingsError(Exception):
-    """One plain line: the file, the field, what is wrong with it."""
+    """An invalid settings file; the message is one line with file, field and fault."""
 
 
 class Sibling(Struct, frozen=True):
-    """Another controller of this cell."""
+    """Another controller of this cell; `peer_addr` (HOST:PORT) is where it accepts peers."""
 
     member: ShortName
     zone: ShortName
@@ -31,24 +31,24 @@
 
 
 class Services(Struct, frozen=True):
-    """Addresses of the cloud and the state service."""
+    """Addresses (HOST:PORT) of the cloud and the state service."""
 
     cloud: str
     state: str
 
 
 class Team(Struct, frozen=True):
-    """Guarantee and limit; a limit of 0 means none."""
+    """A team's guaranteed resources and its limits; a limit of 0 means no limit."""
 
     name: ShortName
-    cpus: NonNegativeFloat = 0.0
+    cpus: NonNegativeFloat = 0.0  # guaranteed
     cpus_max: NonNegativeFloat = 0.0
-    gpus: NonNegativeFloat = 0.0
+    gpus: NonNegativeFloat = 0.0  # guaranteed
     gpus_max: NonNegativeFloat = 0.0
 
 
 class Objective(Struct, frozen=True):
-    """One aim as the platform states it; `lane` is empty where it spans all classes."""
+    """A service level objective; an empty `job_class` stands for all classes."""
 
     kind: str
     job_class: str = msgspec.field(default="", name="class")
@@ -57,7 +57,15 @@
 
 
 class Workers(Struct, frozen=True):
-    """Times that workers go by."""
+    """Intervals and timeouts of workers.
+
+    Attributes:
+        report_s: Interval of a worker's reports.
+        lease_s: Age of the last report with a response at which a worker stops its tasks.
+        gang_wait_s: Time that a gang's task waits for the images of the gang's other tasks.
+        gang_peer_s: Timeout of workers between the tasks of a gang; not used by controllers.
+        cancel_s: Time after the confirmation of a cancellation by which the tasks have ended.
+    """
 
     report_s: PositiveFloat
     lease_s: PositiveFloat
@@ -67,7 +75,7 @@
 
 
 class LaterLimits(Struct, frozen=True):
-    """What the state service will allow from some moment on; a field left out stays."""
+    """Announced limits of the state service; an omitted limit does not change."""
 
     rps: PositiveFloat | None = None
     write_rps: PositiveFloat | None = None
@@ -76,7 +84,15 @@
 
 
 class StateLimits(Struct, frozen=True):
-    """What the state service takes now, and later."""
+    """Current limits of the state service, and announced ones (`next`) if there are any.
+
+    Attributes:
+        rps: Requests per second.
+        write_rps: Written keys per second.
+        value_kb: Size of a value.
+        txn_ops: Operations in a transaction.
+        next: Limits that come into force at some later time.
+    """
 
     rps: PositiveFloat
     write_rps: PositiveFloat
@@ -85,21 +101,25 @@
     next: LaterLimits | None = None
 
     def apply_next(self) -> "StateLimits":
-        """The limits to come: of each the smaller one, and none where nothing is said."""
-        told = msgspec.structs.asdict(self.next) if self.next else {}
-        lower = {k: min(v, getattr(self, k)) for k, v in told.items() if v is not None}
-        return msgspec.structs.replace(self, next=None, **lower)
+        """Return limits that hold before and after `next` applies: the lower value of each."""
+        next_limits = msgspec.structs.asdict(self.next) if self.next else {}
+        lowest = {
+            key: min(limit, getattr(self, key))
+            for key, limit in next_limits.items()
+            if limit is not None
+        }
+        return msgspec.structs.replace(self, next=None, **lowest)
 
 
 class CloudLimits(Struct, frozen=True):
-    """What the cloud takes, and how late its list is."""
+    """Requests per second that the cloud accepts, and the delay of its machine list."""
 
     rps: PositiveFloat
     list_lag_s: NonNegativeFloat
 
 
 class Resources(Struct, frozen=True):
-    """What one controller may use."""
+    """Resources that one controller may use."""
 
     cores: PositiveFloat
     memory_mb: PositiveFloat
@@ -107,7 +127,7 @@
 
 
 class Params(Struct, frozen=True):
-    """What all controllers have in common."""
+    """Parameters that are the same for all controllers of the cell."""
 
     zones: list[ShortName]
     teams: list[Team]
@@ -120,7 +140,7 @@
 
 
 class Settings(Struct, frozen=True):
-    """One controller's settings."""
+    """The settings of one controller."""
 
     member: ShortName
     zone: ShortName
@@ -132,7 +152,11 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """`10.0.0.1:8080` as host and port."""
+    """Split an address such as `10.0.0.1:8080` into host and port.
+
+    Raises:
+        ValueError: The text is not HOST:PORT, or the port is above 65535.
+    """
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ValueError(f"{text!r} is not HOST:PORT")
@@ -140,7 +164,7 @@
 
 
 def _check_value_limit(state: StateLimits) -> None:
-    """A packed record's head has to hold its own frame and some of the text."""
+    """Check that a value can hold the head of a split record and some of its text."""
     if state.value_kb < MIN_VALUE_KB:
         raise SettingsError(f"params.state.value_kb: must be at least {MIN_VALUE_KB:g}")
     if state.apply_next().value_kb < MIN_VALUE_KB:
@@ -148,72 +172,82 @@
 
 
 def _check(settings: Settings) -> None:
-    """What a type alone cannot say."""
+    """Check the rules that the types of the fields do not express."""
     addresses = {
         "listen": settings.listen,
         "peer_listen": settings.peer_listen,
         "services.cloud": settings.services.cloud,
         "services.state": settings.services.state,
     }
-    for at, sibling in enumerate(settings.siblings):
-        addresses[f"siblings[{at}].peer_addr"] = sibling.peer_addr
+    for index, sibling in enumerate(settings.siblings):
+        addresses[f"siblings[{index}].peer_addr"] = sibling.peer_addr
     for field, text in addresses.items():
         try:
             split_address(text)
-        except ValueError as wrong:
-            raise SettingsError(f"{field}: {wrong}") from None
+        except ValueError as error:
+            raise SettingsError(f"{field}: {error}") from None
     if settings.zone not in settings.params.zones:
         raise SettingsError(f"zone: {settings.zone!r} is not in params.zones")
-    names = [settings.member, *(s.member for s in settings.siblings)]
+    names = [settings.member, *(sibling.member for sibling in settings.siblings)]
     if len(set(names)) != len(names):
         raise SettingsError("siblings: member names are not all different")
     _check_value_limit(settings.params.state)
     workers = settings.params.workers
     if workers.lease_s <= workers.report_s:
         raise SettingsError("params.workers.lease_s: must exceed report_s")
-    least = workers.lease_s * CLOCK_DRIFT_FACTOR + CANCEL_MARGIN_S
-    if workers.cancel_s < least:
-        # Closer together, no lease could be renewed between one news and the next without
-        # outliving a cancellation that was promised meanwhile.
-        raise SettingsError(f"params.workers.cancel_s: must be {least:g} or more with this lease_s")
+    min_cancel_s = workers.lease_s * CLOCK_DRIFT_FACTOR + CANCEL_MARGIN_S
+    if workers.cancel_s < min_cancel_s:
+        # With a shorter time, a lease that is renewed between two updates of the state service
+        # would outlive the time by which a cancellation made in between has to take effect.
+        raise SettingsError(
+            f"params.workers.cancel_s: must be {min_cancel_s:g} or more with this lease_s"
+        )
 
 
 def _check_finite(value: object, path: str) -> None:
-    """TOML has `nan` and `inf`; no setting may be either."""
+    """Reject `nan` and `inf`, which TOML allows, in any field below `path`."""
     if isinstance(value, float) and not math.isfinite(value):
         raise SettingsError(f"{path}: not a finite number")
     if isinstance(value, dict):
-        for key, inner in value.items():
-            _check_finite(inner, f"{path}.{key}" if path else str(key))
+        for key, item in value.items():
+            _check_finite(item, f"{path}.{key}" if path else str(key))
     if isinstance(value, list):
-        for at, inner in enumerate(value):
-            _check_finite(inner, f"{path}[{at}]")
+        for index, item in enumerate(value):
+            _check_finite(item, f"{path}[{index}]")
 
 
 def load_toml(path: Path, read: Callable[[dict[str, Any]], T]) -> T:
-    """What `read` makes of a TOML file; every fault is a SettingsError that names it."""
+    """Load a TOML file and convert its content with `read`.
+
+    Raises:
+        SettingsError: The file cannot be read or parsed, or its content is invalid.
+    """
     try:
-        raw = tomllib.loads(path.read_text(encoding="utf-8"))
-        _check_finite(raw, "")
-        return read(raw)
-    except SettingsError as wrong:
-        raise SettingsError(f"{path}: {wrong}") from None
-    except OSError as wrong:
-        raise SettingsError(f"{path}: {wrong.strerror}") from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as wrong:
-        raise SettingsError(f"{path}: not TOML: {wrong}") from None
-    except msgspec.ValidationError as wrong:
-        what, _, where = str(wrong).partition(" - at ")
-        where = where.strip("`").removeprefix("$.") or "top level"
-        raise SettingsError(f"{path}: {where}: {what}") from None
-
-
-def _read_settings(raw: dict[str, Any]) -> Settings:
-    settings = msgspec.convert(raw, Settings)
+        content = tomllib.loads(path.read_text(encoding="utf-8"))
+        _check_finite(content, "")
+        return read(content)
+    except SettingsError as error:
+        raise SettingsError(f"{path}: {error}") from None
+    except OSError as error:
+        raise SettingsError(f"{path}: {error.strerror}") from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise SettingsError(f"{path}: not TOML: {error}") from None
+    except msgspec.ValidationError as error:
+        fault, _, field = str(error).partition(" - at ")
+        field = field.strip("`").removeprefix("$.") or "top level"
+        raise SettingsError(f"{path}: {field}: {fault}") from None
+
+
+def _read_settings(content: dict[str, Any]) -> Settings:
+    settings = msgspec.convert(content, Settings)
     _check(settings)
     return settings
 
 
 def load(path: Path) -> Settings:
-    """Read and check a settings file."""
+    """Load and validate a settings file.
+
+    Raises:
+        SettingsError: The file is invalid; the message names the field.
+    """
     return load_toml(path, _read_settings)
