--- a/coursefold/client.py
+++ b/coursefold/client.py
@@ -1,15 +1,18 @@
 """HTTP client that the command line uses to talk to a controller."""
 
+
+
 import asyncio
 import json
+import msgspec
 import tomllib
+from coursefold.protocol.wire import encode
+from coursefold.transport.http_client import HttpClient
+from coursefold.transport.http_client import NoResponseError
 from pathlib import Path
 from typing import Any
 
-import msgspec
 
-from coursefold.protocol.wire import encode
-from coursefold.transport.http_client import HttpClient, NoAnswerError
 
 REQUEST_TIMEOUT_S = 5.0
 
@@ -73,7 +76,7 @@
 
     try:
         status, content = asyncio.run(fetch_once())
-    except NoAnswerError as error:
+    except NoResponseError as error:
         raise RequestError(f"{node} does not answer: {error}") from None
     try:
         decoded = msgspec.msgpack.decode(content)
