--- a/coursefold/client.py
+++ b/coursefold/client.py
@@ -1,18 +1,15 @@
 """HTTP client that the command line uses to talk to a controller."""
 
-
-
 import asyncio
 import json
-import msgspec
 import tomllib
-from coursefold.protocol.wire import encode
-from coursefold.transport.http_client import HttpClient
-from coursefold.transport.http_client import NoResponseError
 from pathlib import Path
 from typing import Any
 
+import msgspec
 
+from coursefold.protocol.wire import encode
+from coursefold.transport.http_client import HttpClient, NoResponseError
 
 REQUEST_TIMEOUT_S = 5.0
 
--- a/coursefold/policy/language.py
+++ b/coursefold/policy/language.py
@@ -142,13 +142,13 @@
                 if operand.value_type not in ("number", "duration"):
                     raise _error_at(
                         tree,
-                        f"a sign before a {operand.value_type}; it needs a number or a duration",
+                        f"a sign needs a number or a duration, not a {operand.value_type}",
                     )
                 return Negative(operand) if str(tree.children[0]) == "-" else operand
             case "negation":
                 operand = self.build_expression(tree.children[1])
                 if operand.value_type != "truth":
-                    raise _error_at(tree, f"'not' before a {operand.value_type}; it needs a truth")
+                    raise _error_at(tree, f"'not' needs a truth, not a {operand.value_type}")
                 return Not(operand)
         left = self.build_expression(tree.children[0])
         for index in range(1, len(tree.children), 2):
@@ -172,7 +172,8 @@
         if operator in ("and", "or"):
             if types != ("truth", "truth"):
                 raise _error_at(
-                    token, f"'{operator}' between a {left.value_type} and a {right.value_type}"
+                    token,
+                    f"'{operator}' cannot combine a {left.value_type} and a {right.value_type}",
                 )
             return Binary("truth", operator, left, right)
         if operator in ("==", "!="):
@@ -181,12 +182,14 @@
             return Binary("truth", operator, left, right)
         if not set(types) <= {"number", "duration"}:
             raise _error_at(
-                token, f"'{operator}' between a {left.value_type} and a {right.value_type}"
+                token,
+                f"'{operator}' cannot combine a {left.value_type} and a {right.value_type}",
             )
         if operator in ("<", "<=", ">", ">=", "+", "-"):
             if left.value_type != right.value_type:
                 raise _error_at(
-                    token, f"'{operator}' between a {left.value_type} and a {right.value_type}"
+                    token,
+                    f"'{operator}' cannot combine a {left.value_type} and a {right.value_type}",
                 )
             return Binary(left.value_type if operator in "+-" else "truth", operator, left, right)
         if operator == "*" and types == ("duration", "duration"):
@@ -221,7 +224,7 @@
 def _read_rule(tree: Any, names: set[str]) -> Rule:
     name, condition, action, count = tree.children
     if str(name) in names:
-        raise _error_at(name, f"rule {str(name)!r} is defined twice")
+        raise _error_at(name, f"duplicate rule {str(name)!r}")
     names.add(str(name))
     if len(names) > MAX_RULES:
         raise _error_at(name, f"the policy has more than {MAX_RULES} rules")
--- a/coursefold/settings.py
+++ b/coursefold/settings.py
@@ -88,7 +88,7 @@
 
     Attributes:
         rps: Requests per second.
-        write_rps: Written keys per second.
+        write_rps: Changes per second, of all controllers together.
         value_kb: Size of a value.
         txn_ops: Operations in a transaction.
         next: Limits that come into force at some later time.
