--- a/coursefold/policy/language.py
+++ b/coursefold/policy/language.py
@@ -124,6 +124,7 @@
         self.node_count = 0
 
     def build_expression(self, tree: Any) -> Expression:
+        """Return the typed expression of a parse tree, with its operands."""
         self.node_count += 1
         if self.node_count > MAX_CONDITION_NODES:
             raise _error_at(tree, f"the condition has more than {MAX_CONDITION_NODES} parts")
@@ -158,6 +159,7 @@
 
     @staticmethod
     def build_quantity(tree: Any) -> Literal:
+        """Return a number, or a duration in seconds if the number has a unit."""
         number = float(tree.children[0])
         if not math.isfinite(number):
             raise _error_at(tree, "the number is out of range")
--- a/coursefold/settings.py
+++ b/coursefold/settings.py
@@ -48,7 +48,15 @@
 
 
 class Objective(Struct, frozen=True):
-    """A service level objective; an empty `job_class` stands for all classes."""
+    """A service level objective.
+
+    Attributes:
+        kind: `wait` (time to the start), `finished` (time to the end) or `guarantee` (time to the
+            start of jobs within the guarantee of the team); others are ignored.
+        job_class: The class of jobs; empty for all classes.
+        within_s: The limit in seconds.
+        share: The share of jobs for which the limit is to hold; controllers do not use it.
+    """
 
     kind: str
     job_class: str = msgspec.field(default="", name="class")
@@ -127,7 +135,10 @@
 
 
 class Params(Struct, frozen=True):
-    """Parameters that are the same for all controllers of the cell."""
+    """Parameters that are the same for all controllers of the cell.
+
+    `skew_ms` is the bound of the clock skew of a controller in milliseconds.
+    """
 
     zones: list[ShortName]
     teams: list[Team]
@@ -140,7 +151,17 @@
 
 
 class Settings(Struct, frozen=True):
-    """The settings of one controller."""
+    """The settings of one controller.
+
+    Attributes:
+        member: Name of the controller, unique in the cell.
+        zone: Its zone, one of `params.zones`.
+        listen: HOST:PORT where it serves users and workers.
+        peer_listen: HOST:PORT where it accepts its siblings.
+        services: Addresses of the services that it uses.
+        params: Parameters of the whole cell.
+        siblings: The other controllers of the cell.
+    """
 
     member: ShortName
     zone: ShortName
