--- a/coursefold/shares/config.py
+++ b/coursefold/shares/config.py
@@ -13,28 +13,28 @@
 from coursefold.settings import Settings, SettingsError, read_file
 from coursefold.storage.share_records import MoveMode
 
-Name = Annotated[str, Meta(min_length=1, max_length=100)]
-Count = Annotated[int, Meta(ge=0, le=100_000)]
-AtLeastOne = Annotated[int, Meta(ge=1, le=100_000)]
+ShortName = Annotated[str, Meta(min_length=1, max_length=100)]
+MachineCount = Annotated[int, Meta(ge=0, le=100_000)]
+PositiveCount = Annotated[int, Meta(ge=1, le=100_000)]
 Weight = Annotated[float, Meta(ge=0, le=1_000)]
-Seconds = Annotated[float, Meta(gt=0, le=7 * 24 * 3600)]
+PositiveSeconds = Annotated[float, Meta(gt=0, le=7 * 24 * 3600)]
 Weekday = Literal["mon", "tue", "wed", "thu", "fri", "sat", "sun"]
 ModeName = Literal["finish", "drain"]
 
 WEEKDAYS: tuple[Weekday, ...] = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
-MODES: dict[str, MoveMode] = {"finish": MoveMode.FINISH, "drain": MoveMode.DRAIN}
-DAY_MINUTES = 24 * 60
-WEEK_MINUTES = 7 * DAY_MINUTES
-_CLOCK = re.compile(r"([01]\d|2[0-3]):([0-5]\d)")
+MOVE_MODES: dict[str, MoveMode] = {"finish": MoveMode.FINISH, "drain": MoveMode.DRAIN}
+MINUTES_PER_DAY = 24 * 60
+MINUTES_PER_WEEK = 7 * MINUTES_PER_DAY
+_CLOCK_TIME_PATTERN = re.compile(r"([01]\d|2[0-3]):([0-5]\d)")
 
 
 class ShareRule(Struct, frozen=True, forbid_unknown_fields=True):
     """What one controller is to own of a machine type: a count of machines, or a weight."""
 
-    controller: Name
-    type: Name
+    controller: ShortName
+    type: ShortName
     zone: str = ""  # empty: all zones together
-    machines: Count | None = None
+    machines: MachineCount | None = None
     weight: Weight | None = None
 
     @property
@@ -46,7 +46,7 @@
 class Window(Struct, frozen=True, forbid_unknown_fields=True):
     """Shares that hold at certain times of the week instead of the usual ones."""
 
-    name: Name
+    name: ShortName
     start: str
     end: str  # the next day, where it is not after `start`
     shares: list[ShareRule]
@@ -57,12 +57,12 @@
 class MoveLimits(Struct, frozen=True, forbid_unknown_fields=True):
     """How fast machines change hands."""
 
-    at_once: AtLeastOne = 10
-    a_minute: AtLeastOne = 60
+    at_once: PositiveCount = 10
+    a_minute: PositiveCount = 60
     mode: ModeName = "finish"
-    limit_s: Seconds = 900.0  # a move that is not done by then is withdrawn
-    retry_s: Seconds = 60.0  # before the same machine is tried again
-    tolerance: Count = 1  # machines by which a share may be off
+    limit_s: PositiveSeconds = 900.0  # a move that is not done by then is withdrawn
+    retry_s: PositiveSeconds = 60.0  # before the same machine is tried again
+    tolerance: MachineCount = 1  # machines by which a share may be off
 
 
 class SharesFile(Struct, frozen=True, forbid_unknown_fields=True):
@@ -71,7 +71,7 @@
     shares: list[ShareRule] = []
     windows: list[Window] = []
     moves: MoveLimits = MoveLimits()
-    timezone: Name = "UTC"
+    timezone: ShortName = "UTC"
     holidays: str = ""  # a country's public holidays, by its ISO code: "IE", "ZA"
 
 
@@ -81,18 +81,18 @@
     def __init__(self, file: SharesFile, settings: Settings) -> None:
         self.file = file
         self.moves = file.moves
-        self.mode = MODES[file.moves.mode]
-        self.controllers = controllers(settings)
+        self.mode = MOVE_MODES[file.moves.mode]
+        self.controllers = list_controllers(settings)
 
 
-def controllers(settings: Settings) -> list[str]:
+def list_controllers(settings: Settings) -> list[str]:
     """All controllers that the settings name."""
     return [settings.member, *(sibling.member for sibling in settings.siblings)]
 
 
 def parse_clock(text: str) -> time:
     """`18:30` as a time of day."""
-    match = _CLOCK.fullmatch(text)
+    match = _CLOCK_TIME_PATTERN.fullmatch(text)
     if match is None:
         raise ValueError(f"{text!r} is no time of day (HH:MM)")
     return time(int(match[1]), int(match[2]))
@@ -124,18 +124,18 @@
             raise SettingsError(f"{where}[{at}].zone: {rule.type} is shared with and without zones")
 
 
-def _minutes(window: Window) -> set[int]:
+def _open_minutes_of_week(window: Window) -> set[int]:
     """The minutes of a week in which the window is open, without regard to holidays."""
     start = parse_clock(window.start)
     end = parse_clock(window.end)
     first = start.hour * 60 + start.minute
-    length = (end.hour * 60 + end.minute - first) % DAY_MINUTES or DAY_MINUTES
-    opens = [WEEKDAYS.index(day) * DAY_MINUTES + first for day in window.days]
-    return {(at + minute) % WEEK_MINUTES for at in opens for minute in range(length)}
+    length = (end.hour * 60 + end.minute - first) % MINUTES_PER_DAY or MINUTES_PER_DAY
+    opens = [WEEKDAYS.index(day) * MINUTES_PER_DAY + first for day in window.days]
+    return {(at + minute) % MINUTES_PER_WEEK for at in opens for minute in range(length)}
 
 
 def _check_windows(file: SharesFile, settings: Settings) -> None:
-    names = controllers(settings)
+    names = list_controllers(settings)
     for at, window in enumerate(file.windows):
         where = f"windows[{at}]"
         for field, text in (("start", window.start), ("end", window.end)):
@@ -152,7 +152,7 @@
         for other in file.windows[:at]:
             if {window.holidays, other.holidays} == {"only", "skip"}:
                 continue  # never on the same day
-            if _minutes(window) & _minutes(other):
+            if _open_minutes_of_week(window) & _open_minutes_of_week(other):
                 raise SettingsError(f"{where}: overlaps with window {other.name!r}")
 
 
@@ -168,10 +168,10 @@
             raise SettingsError(f"holidays: the country {file.holidays!r} is not known")
 
 
-def check(file: SharesFile, settings: Settings) -> None:
+def check_shares_file(file: SharesFile, settings: Settings) -> None:
     """What types alone cannot say."""
     _check_calendar(file)
-    _check_rules(file.shares, "shares", controllers(settings), settings.params.zones)
+    _check_rules(file.shares, "shares", list_controllers(settings), settings.params.zones)
     _check_scopes(file.shares, "shares")
     _check_windows(file, settings)
 
@@ -181,7 +181,7 @@
 
     def read(raw: dict[str, Any]) -> SharesConfig:
         file = msgspec.convert(raw, SharesFile)
-        check(file, settings)
+        check_shares_file(file, settings)
         return SharesConfig(file, settings)
 
     return read_file(path, read)
--- a/coursefold/shares/durations.py
+++ b/coursefold/shares/durations.py
@@ -6,53 +6,53 @@
 from coursefold.shares.port import CorePort
 
 
-class UnderWay(NamedTuple):
+class ObservedMove(NamedTuple):
     """A move that this process has seen requested."""
 
     epoch: int
     requested_at: float
 
 
-class Durations:
+class MoveDurations:
     """Measured by the leader, from the records and its siblings' rows."""
 
     def __init__(self, port: CorePort) -> None:
         self.port = port
-        self.handover = new_histogram()
-        self.shown = new_histogram()
-        self.under_way: dict[str, UnderWay] = {}
+        self.handover_s = new_histogram()
+        self.visible_s = new_histogram()
+        self.observed_moves: dict[str, ObservedMove] = {}
         self.handed_over_at: dict[str, float] = {}
 
     def tick(self) -> None:
         """Note the moves that have come further."""
         port = self.port
-        if not port.leads():
-            self.under_way.clear()
+        if not port.is_leading():
+            self.observed_moves.clear()
             self.handed_over_at.clear()
             return
-        for machine, known in list(self.under_way.items()):
+        for machine, known in list(self.observed_moves.items()):
             if machine not in port.view.moves_in_progress:
-                del self.under_way[machine]
-                self._note_handover(machine, known)
+                del self.observed_moves[machine]
+                self._record_handover(machine, known)
         for machine, record in port.view.moves_in_progress.items():
-            self.under_way[machine] = UnderWay(record.epoch, record.stage_started_at)
+            self.observed_moves[machine] = ObservedMove(record.epoch, record.stage_started_at)
         for machine, at in list(self.handed_over_at.items()):
             if port.is_leaving(machine):
                 del self.handed_over_at[machine]
-            elif port.is_shown(machine):
+            elif port.is_reported_by_owner(machine):
                 del self.handed_over_at[machine]
-                record_seconds(self.shown, max(0.0, port.ctx.wall_time - at))
+                record_seconds(self.visible_s, max(0.0, port.ctx.wall_time - at))
 
-    def _note_handover(self, machine: str, known: UnderWay) -> None:
+    def _record_handover(self, machine: str, known: ObservedMove) -> None:
         record = self.port.view.ownership.get(machine)
         if record is None or record.epoch != known.epoch or record.owner != record.target:
             return  # withdrawn
-        record_seconds(self.handover, max(0.0, record.stage_started_at - known.requested_at))
+        record_seconds(self.handover_s, max(0.0, record.stage_started_at - known.requested_at))
         self.handed_over_at[machine] = record.stage_started_at
 
-    def condition(self) -> dict[str, Any]:
+    def health_status(self) -> dict[str, Any]:
         """Both distributions, for a controller's condition."""
         return {
-            "handover": summarize(self.handover)._asdict(),
-            "shown": summarize(self.shown)._asdict(),
+            "handover": summarize(self.handover_s)._asdict(),
+            "shown": summarize(self.visible_s)._asdict(),
         }
--- a/coursefold/shares/moves.py
+++ b/coursefold/shares/moves.py
@@ -21,17 +21,17 @@
     target: str
     epoch: int
     mode: MoveMode
-    until: float
-    why: str
+    expires_at: float
+    reason: str
 
 
-def _record(current: Struct | None) -> MachineOwnership:
+def _require_record(current: Struct | None) -> MachineOwnership:
     if not isinstance(current, MachineOwnership):
         raise NotApplicableError("no record")
     return current
 
 
-def request(move: Move, roster: int, wall: float) -> Change:
+def request_move(move: Move, roster: int, wall: float) -> Change:
     """Have a machine drained; refused, with its epoch, while another move is under way."""
 
     def change(current: Struct | None) -> EditResult:
@@ -50,14 +50,14 @@
             roster_token=roster,
             mode=move.mode,
             stage_started_at=wall,
-            expires_at=move.until,
-            why=move.why,
+            expires_at=move.expires_at,
+            why=move.reason,
         )
 
     return change
 
 
-def renew(known: MachineOwnership, roster: int) -> Change:
+def renew_move(known: MachineOwnership, roster: int) -> Change:
     """Go on with a move under a new roster, of which both its controllers are members.
 
     It is the same move. But its record is new, and so is the fencing token of its handover:
@@ -72,11 +72,11 @@
     return change
 
 
-def withdraw(epoch: int, wall: float, why: str) -> Change:
+def withdraw_move(epoch: int, wall: float, why: str) -> Change:
     """End a move before the handover: the machine stays with the owner that it has."""
 
     def change(current: Struct | None) -> EditResult:
-        known = _record(current)
+        known = _require_record(current)
         if known.epoch != epoch or known.stage != MoveStage.DRAINING:
             raise NotApplicableError("handed over or withdrawn already")
         return msgspec.structs.replace(
@@ -86,7 +86,7 @@
     return change
 
 
-def hand_over(known: MachineOwnership, stamp: int, incarnation: int, wall: float) -> Change:
+def hand_over_machine(known: MachineOwnership, stamp: int, incarnation: int, wall: float) -> Change:
     """The old owner's last word: from this commit on the machine is the new owner's.
 
     The new fencing token is the revision at which the move was requested. It is later than
@@ -109,7 +109,7 @@
     return change
 
 
-def forget(known: Struct) -> Change:
+def delete_unchanged(known: Struct) -> Change:
     """Remove a record that is no longer needed, unless it has changed meanwhile."""
 
     def change(current: Struct | None) -> EditResult:
--- a/coursefold/shares/port.py
+++ b/coursefold/shares/port.py
@@ -22,22 +22,22 @@
 )
 from coursefold.storage.share_records import MachineOwnership
 
-HEARD_S = 1.6  # ago at most: a sibling that is to take a machine over
-STATE_HEARD_S = 2.0  # ago at most: the state service, by that sibling
-REPORTED_S = 3.0  # ago at most: an owner's rows
-LONGEST_WAIT_S = 30.0  # of a job beside room on a machine that is to move
-SOCKETS_FOR_WORKERS = 0.75  # of a controller's; the rest is for users, siblings and services
+MAX_PEER_SILENCE_S = 1.6  # ago at most: a sibling that is to take a machine over
+MAX_STATE_AGE_S = 2.0  # ago at most: the state service, by that sibling
+MAX_ROW_AGE_S = 3.0  # ago at most: an owner's rows
+MAX_JOB_WAIT_S = 30.0  # of a job beside room on a machine that is to move
+WORKER_SOCKET_SHARE = 0.75  # of a controller's; the rest is for users, siblings and services
 
 
 class MachineState(NamedTuple):
     """A machine as the leader sees it; `obstacle` says why it can not be moved now."""
 
     id: str
-    build: str
+    machine_type: str
     zone: str
     owner: str
-    tasks: int  # that end by themselves
-    is_shown: bool  # its owner tells us of it
+    ending_task_count: int  # that end by themselves
+    is_reported: bool  # its owner tells us of it
     obstacle: str
 
 
@@ -56,15 +56,15 @@
         """May this controller decide for its machines, in the forms that shares need?"""
         return self.ctx.is_active() and self.view.format_level >= records.SHARES_LEVEL
 
-    def leads(self) -> bool:
+    def is_leading(self) -> bool:
         """May this controller decide for all of them?"""
         return self.ctx.is_leading() and self.view.format_level >= records.SHARES_LEVEL
 
-    def leader(self) -> str:
+    def leader_name(self) -> str:
         """The controller that leads, as far as is known."""
         return self.ctx.roster.leader if self.ctx.roster else ""
 
-    def members(self) -> list[str]:
+    def member_names(self) -> list[str]:
         """Controllers in the roster."""
         return [member.name for member in self.ctx.roster.members] if self.ctx.roster else []
 
@@ -72,7 +72,7 @@
         """The same, with their zones."""
         return self.ctx.roster.members if self.ctx.roster else []
 
-    def is_settled(self) -> bool:
+    def has_complete_inventory(self) -> bool:
         """Have we led for so long that all machines that are heard have been counted?"""
         inventory = self.core.fleet.inventory
         return (
@@ -80,28 +80,28 @@
             and inventory.leading_duration_s() > self.ctx.max_report_age_s()
         )
 
-    def incarnation(self, member: str) -> int:
+    def incarnation_of(self, member: str) -> int:
         """The lease of a member's process; 0 if it is not in the roster."""
         found = self.ctx.roster.find_member(member) if self.ctx.roster else None
         return found.lease_id if found else 0
 
-    def most_machines(self) -> int:
+    def max_machines(self) -> int:
         """Machines that one controller has connections for."""
-        return int(self.ctx.settings.params.resources.fd_limit * SOCKETS_FOR_WORKERS)
+        return int(self.ctx.settings.params.resources.fd_limit * WORKER_SOCKET_SHARE)
 
-    def takes_over(self, member: str) -> bool:
+    def can_take_over(self, member: str) -> bool:
         """Is the sibling well enough to be handed a machine just now?"""
         peer = self.ctx.peers.get(member)
         return (
             peer is not None
-            and self.ctx.now - peer.last_frame_at <= HEARD_S
+            and self.ctx.now - peer.last_frame_at <= MAX_PEER_SILENCE_S
             and peer.token == self.view.fencing_token
-            and peer.state_age_s <= STATE_HEARD_S
+            and peer.state_age_s <= MAX_STATE_AGE_S
         )
 
     # The leader's view of the machines
 
-    def machines(self) -> list[MachineState]:
+    def list_machines(self) -> list[MachineState]:
         """All machines that are up and stay, by name."""
         ctx = self.ctx
         inventory = self.core.fleet.inventory
@@ -110,11 +110,11 @@
             if not rented.is_up or rented.lease_expired or name in inventory.returning:
                 continue
             owner = ctx.owner_of(name, rented.zone) or ""
-            row = self._row(name, owner)
+            row = self._find_row(name, owner)
             obstacle = self._obstacle(row) if row is not None else "its owner does not show it"
             if not obstacle and name in self.core.leader.requested_machines:
                 obstacle = "it is kept free for a gang or a return"
-            tasks = self._ending_tasks(name)
+            tasks = self._count_ending_tasks(name)
             shown = row is not None
             found.append(
                 MachineState(name, rented.machine_type, rented.zone, owner, tasks, shown, obstacle)
@@ -126,10 +126,10 @@
         rented = self.core.fleet.inventory.machines.get(machine)
         return (self.ctx.owner_of(machine, rented.zone) or "") if rented else ""
 
-    def is_shown(self, machine: str) -> bool:
+    def is_reported_by_owner(self, machine: str) -> bool:
         """Does the machine's owner tell us of it?"""
         owner = self.owner_of(machine)
-        return bool(owner) and self._row(machine, owner) is not None
+        return bool(owner) and self._find_row(machine, owner) is not None
 
     def is_leaving(self, machine: str) -> bool:
         """Is the machine lost, being returned, or gone from the inventory?"""
@@ -156,7 +156,7 @@
             return False
         return self.ctx.owner_by_hash(machine, rented.zone, roster) == record.owner
 
-    def _row(self, machine: str, owner: str) -> Machine | PeerMachine | None:
+    def _find_row(self, machine: str, owner: str) -> Machine | PeerMachine | None:
         """What the machine's owner tells of it, if it does and is up to date."""
         if owner == self.ctx.own_name:
             own = self.ctx.machines.get(machine)
@@ -168,7 +168,7 @@
 
     def _is_current(self, peer: PeerView) -> bool:
         return (
-            self.ctx.now - peer.last_frame_at <= REPORTED_S
+            self.ctx.now - peer.last_frame_at <= MAX_ROW_AGE_S
             and peer.token == self.view.fencing_token
         )
 
@@ -188,14 +188,14 @@
             return "the cloud takes it back, or it does not hear us"
         return "it is kept free for a gang or a return" if lent else ""
 
-    def needed_by_waiting(self, machines: Iterable[str]) -> set[str]:
+    def find_needed_by_waiting_jobs(self, machines: Iterable[str]) -> set[str]:
         """Of machines that are to move, those with room for a task that has waited for long."""
         core, wall = self.core, self.ctx.wall_time
         waiting = [
             self.view.jobs[name].spec
             for name in core.leader.jobs_without_capacity
             if name in self.view.jobs
-            and wall - self.view.eligible_at(name, self.view.jobs[name]) > LONGEST_WAIT_S
+            and wall - self.view.eligible_at(name, self.view.jobs[name]) > MAX_JOB_WAIT_S
         ]
         if not waiting:
             return set()
@@ -209,7 +209,7 @@
 
     # One machine of ours
 
-    def obstacle_to_handover(self, machine: str) -> str:
+    def find_handover_obstacle(self, machine: str) -> str:
         """Why a machine of ours can not be handed over now, apart from tasks that have to end."""
         own = self.ctx.machines.get(machine)
         if own is None or not own.token_confirmed:
@@ -228,7 +228,7 @@
             return "a task's end is not written yet"
         return self._obstacle(own)
 
-    def tasks_to_end(self, machine: str) -> list[tuple[JobId, TaskEntry]]:
+    def list_tasks_to_end(self, machine: str) -> list[tuple[JobId, TaskEntry]]:
         """Tasks that have to end before a handover: all but replicas that stay where they are."""
         own = self.ctx.machines.get(machine)
         found = []
@@ -242,18 +242,18 @@
                 found.append((job_id, entry))
         return found
 
-    def _ending_tasks(self, machine: str) -> int:
+    def _count_ending_tasks(self, machine: str) -> int:
         return sum(
             entry.stage != ASSIGNED and self.view.jobs[job_id].spec.kind != "standing"
             for job_id, entry in self.view.entries_on(machine)
         )
 
-    def can_save(self, job: JobRecord, entry: TaskEntry) -> bool:
+    def can_stop_without_loss(self, job: JobRecord, entry: TaskEntry) -> bool:
         """Could this task be stopped without losing work?"""
         spec = job.spec
         return spec.kind == "array" and spec.checkpoint_interval_s > 0 and entry.stage == PLACED
 
-    def rooms(self) -> list[MachineCapacity]:
+    def available_machines(self) -> list[MachineCapacity]:
         """Free room on all machines that take tasks."""
         return [
             room
@@ -262,7 +262,7 @@
         ]
 
     @staticmethod
-    def take_room(spec: Job, rooms: Iterable[MachineCapacity]) -> bool:
+    def reserve_capacity(spec: Job, rooms: Iterable[MachineCapacity]) -> bool:
         """Is there room for a task of the job? Then it counts as taken."""
         room = next((r for r in rooms if may_run_on(spec, r) and r.fits_task(spec)), None)
         if room is None:
@@ -290,14 +290,14 @@
         )
         return self.core.queue.propose(edit)
 
-    def change_request(self, request: str, change: Change, ticket: int, answer: Any) -> None:
+    def write_request(self, request: str, change: Change, ticket: int, answer: Any) -> None:
         """Have an operator's request written; it is answered once that is done."""
 
         def settled(ok: bool, why: str) -> None:
             if ok:
-                self.answer(ticket, 200, answer(self.view.share_requests.get(request)))
+                self.respond(ticket, 200, answer(self.view.share_requests.get(request)))
             else:
-                self.answer(ticket, 503, {"error": f"not written: {why}"}, retry_after=1)
+                self.respond(ticket, 503, {"error": f"not written: {why}"}, retry_after=1)
 
         edit = Edit(
             share_request_key(request),
@@ -307,18 +307,18 @@
         )
         self.core.queue.propose(edit)
 
-    def forget_request(self, request: str, change: Change) -> None:
+    def delete_request(self, request: str, change: Change) -> None:
         """Have the record of a request that is over removed."""
         edit = Edit(
             share_request_key(request), change, fencing_token=self.view.fencing_token, tag="forget"
         )
         self.core.queue.propose(edit)
 
-    def is_idle(self) -> bool:
+    def has_spare_write_rate(self) -> bool:
         """Is there room to write what is never urgent?"""
         return self.core.queue.has_spare_rate(self.ctx.now)
 
-    def answer(
+    def respond(
         self, ticket: int, status: int, body: dict[str, Any], retry_after: int | None = None
     ) -> None:
         """Answer an operator's command."""
--- a/coursefold/shares/schedule.py
+++ b/coursefold/shares/schedule.py
@@ -8,10 +8,10 @@
 
 IsHoliday = Callable[[date], bool]
 ONE_DAY = timedelta(days=1)
-MINUTE_S = 60.0
+SECONDS_PER_MINUTE = 60.0
 
 
-def holiday_calendar(country: str) -> IsHoliday:
+def load_holiday_calendar(country: str) -> IsHoliday:
     """A country's public holidays; no day is one without a country."""
     if not country:
         return lambda day: False
@@ -27,21 +27,23 @@
     def __init__(self, file: SharesFile) -> None:
         self.file = file
         self.timezone = ZoneInfo(file.timezone)
-        self.is_holiday = holiday_calendar(file.holidays)
-        self._minute = -1
-        self._open: Window | None = None
+        self.is_holiday = load_holiday_calendar(file.holidays)
+        self._cached_minute = -1
+        self._cached_window: Window | None = None
 
     def window_at(self, wall: float) -> Window | None:
         """The window that is open; at most one is, as the file was checked for.
 
         Looked for once a minute, which is what windows are written in.
         """
-        minute = int(wall // MINUTE_S)
-        if minute != self._minute:
+        minute = int(wall // SECONDS_PER_MINUTE)
+        if minute != self._cached_minute:
             local = datetime.fromtimestamp(wall, self.timezone)
-            self._minute = minute
-            self._open = next((w for w in self.file.windows if self._is_open(w, local)), None)
-        return self._open
+            self._cached_minute = minute
+            self._cached_window = next(
+                (w for w in self.file.windows if self._is_open(w, local)), None
+            )
+        return self._cached_window
 
     def _is_open(self, window: Window, local: datetime) -> bool:
         start, end = parse_clock(window.start), parse_clock(window.end)
--- a/coursefold/shares/shares.py
+++ b/coursefold/shares/shares.py
@@ -3,15 +3,15 @@
 from typing import Any
 
 from coursefold.coordination.core import Core
-from coursefold.shares.commands import Commands, shown
+from coursefold.shares.commands import OperatorCommands, describe_request
 from coursefold.shares.config import SharesConfig
-from coursefold.shares.durations import Durations
-from coursefold.shares.handover import Handover
-from coursefold.shares.planner import Planner
+from coursefold.shares.durations import MoveDurations
+from coursefold.shares.handover import HandoverManager
+from coursefold.shares.planner import MovePlanner
 from coursefold.shares.port import CorePort
 from coursefold.storage import records
 
-MOVES_SHOWN = 50
+MAX_LISTED_MOVES = 50
 
 
 class Shares:
@@ -19,10 +19,10 @@
 
     def __init__(self, config: SharesConfig, core: Core) -> None:
         self.port = CorePort(core)
-        self.handover = Handover(self.port)
-        self.planner = Planner(config, self.port)
-        self.durations = Durations(self.port)
-        self.commands = Commands(self.port, self.planner, config.controllers)
+        self.handover = HandoverManager(self.port)
+        self.planner = MovePlanner(config, self.port)
+        self.durations = MoveDurations(self.port)
+        self.commands = OperatorCommands(self.port, self.planner, config.controllers)
         core.upgrade.require_level(records.SHARES_LEVEL)
         core.extensions.append(self)
 
@@ -31,11 +31,11 @@
         self.handover.tick()
         self.durations.tick()
         self.planner.tick()
-        self.commands.tidy()
+        self.commands.delete_expired_request()
 
     def handle_operator_command(self, path: str, body: bytes, ticket: int) -> bool:
         """An operator's command."""
-        return self.commands.take(path, body, ticket)
+        return self.commands.handle(path, body, ticket)
 
     # For operators
 
@@ -47,14 +47,16 @@
         return {
             "shares": {
                 "on": self.port.view.format_level >= records.SHARES_LEVEL,
-                "leads": self.port.leads(),
+                "leads": self.port.is_leading(),
                 "window": window.name if window else "",
                 "scopes": self._scopes(),
                 "moves": self._moves(),
                 "outcomes": dict(self.planner.outcomes),
-                "durations": self.durations.condition(),
+                "durations": self.durations.health_status(),
                 "requests": [
-                    shown(name, request) for name, request in requests if wall < request.expires_at
+                    describe_request(name, request)
+                    for name, request in requests
+                    if wall < request.expires_at
                 ],
             }
         }
@@ -62,8 +64,8 @@
     def _scopes(self) -> list[dict[str, Any]]:
         """Machines by controller, and what they are to be."""
         found = []
-        for (build, zone), status in self.planner.status.items():
-            names = sorted({*status.owned, *status.targets, *self.port.members()})
+        for (build, zone), status in self.planner.scope_status.items():
+            names = sorted({*status.owned, *status.targets, *self.port.member_names()})
             rows = []
             for name in names:
                 target = status.targets.get(name)
@@ -71,9 +73,9 @@
                     {
                         "controller": name,
                         "owned": status.owned[name],
-                        "unshown": status.unshown[name],
-                        "target": target.machines if target else None,
-                        "why": target.why if target else "",
+                        "unshown": status.unreported[name],
+                        "target": target.machine_count if target else None,
+                        "why": target.reason if target else "",
                     }
                 )
             found.append({"type": build, "zone": zone, "controllers": rows})
@@ -93,7 +95,7 @@
                 "mode": record.mode.name.lower(),
                 "for_s": round(max(0.0, self.port.ctx.wall_time - record.stage_started_at), 1),
                 "why": record.why,
-                "waits": self.handover.waiting.get(machine, ""),
+                "waits": self.handover.waiting_reasons.get(machine, ""),
             }
-            for machine, record in under_way[:MOVES_SHOWN]
+            for machine, record in under_way[:MAX_LISTED_MOVES]
         ]
--- a/coursefold/shares/targets.py
+++ b/coursefold/shares/targets.py
@@ -6,14 +6,14 @@
 from coursefold.shares.config import ShareRule
 
 Scope = tuple[str, str]  # machine type; zone, or empty for all of them
-UNNAMED_WEIGHT = 1.0  # of a controller without a share, beside those with weights
+DEFAULT_WEIGHT = 1.0  # of a controller without a share, beside those with weights
 
 
 class Target(NamedTuple):
     """How many machines a controller is to own, and why not as many as its share says."""
 
-    machines: int
-    why: str = ""
+    machine_count: int
+    reason: str = ""
 
 
 class Transfer(NamedTuple):
@@ -21,7 +21,7 @@
 
     source: str
     target: str
-    machines: int
+    machine_count: int
 
 
 def apportion(total: int, weights: Sequence[float]) -> list[int]:
@@ -37,7 +37,7 @@
     return parts
 
 
-def resolve(
+def compute_targets(
     rules: Sequence[ShareRule], machines: int, live: Sequence[str], most: Mapping[str, int]
 ) -> dict[str, Target]:
     """Targets of the controllers that the rules of one scope name.
@@ -48,17 +48,17 @@
     named = [rule for rule in rules if rule.controller in live]
     counted = [rule for rule in named if rule.machines is not None]
     weighted = [rule for rule in named if rule.weight is not None]
-    targets = _by_count(counted, machines)
-    rest = machines - sum(target.machines for target in targets.values())
+    targets = _targets_by_count(counted, machines)
+    rest = machines - sum(target.machine_count for target in targets.values())
     unnamed = len(live) - len(named)
-    weights = [rule.weight or 0.0 for rule in weighted] + [UNNAMED_WEIGHT] * unnamed
+    weights = [rule.weight or 0.0 for rule in weighted] + [DEFAULT_WEIGHT] * unnamed
     parts = apportion(rest, weights)
     for rule, part in zip(weighted, parts, strict=False):
         targets[rule.controller] = Target(part)
-    return {name: _capped(target, most.get(name)) for name, target in targets.items()}
+    return {name: _cap_target(target, most.get(name)) for name, target in targets.items()}
 
 
-def _by_count(rules: Sequence[ShareRule], machines: int) -> dict[str, Target]:
+def _targets_by_count(rules: Sequence[ShareRule], machines: int) -> dict[str, Target]:
     wanted = [rule.machines or 0 for rule in rules]
     if sum(wanted) <= machines:
         return {rule.controller: Target(count) for rule, count in zip(rules, wanted, strict=True)}
@@ -67,13 +67,13 @@
     return {rule.controller: Target(part, why) for rule, part in zip(rules, parts, strict=True)}
 
 
-def _capped(target: Target, most: int | None) -> Target:
-    if most is None or target.machines <= most:
+def _cap_target(target: Target, most: int | None) -> Target:
+    if most is None or target.machine_count <= most:
         return target
-    return Target(max(0, most), f"it has connections for {max(0, most)} of {target.machines}")
+    return Target(max(0, most), f"it has connections for {max(0, most)} of {target.machine_count}")
 
 
-def transfers(
+def compute_transfers(
     owned: Mapping[str, int],
     targets: Mapping[str, Target],
     tolerance: int,
@@ -93,7 +93,7 @@
         found[(source, target)] = found.get((source, target), 0) + 1
 
     def off_by(name: str) -> int:
-        return have[name] - targets[name].machines
+        return have[name] - targets[name].machine_count
 
     outside = [name for name in sorted(have) if name not in targets]
     within = [name for name in sorted(have) if name in targets]
--- a/tests/measure_shares.py
+++ b/tests/measure_shares.py
@@ -108,9 +108,9 @@
     for kind, histogram in sorted(histograms.items()):
         show(f"  waits of {kind}s", histogram)
     for number, part in fleet.shares.items():
-        if fleet.nodes[number] is fleet.led() and part.durations.handover.get_total_count():
-            show("  until the handover", part.durations.handover)
-            show("  until the new owner shows it", part.durations.shown)
+        if fleet.nodes[number] is fleet.led() and part.durations.handover_s.get_total_count():
+            show("  until the handover", part.durations.handover_s)
+            show("  until the new owner shows it", part.durations.visible_s)
 
 
 def show(title: str, histogram: Any) -> None:
--- a/tests/shares_world.py
+++ b/tests/shares_world.py
@@ -13,7 +13,7 @@
 from coursefold.coordination.rendezvous import hash_owner as hashed_owner
 from coursefold.protocol.wire import Command, encode
 from coursefold.settings import Settings
-from coursefold.shares.config import SharesConfig, SharesFile, check
+from coursefold.shares.config import SharesConfig, SharesFile, check_shares_file
 from coursefold.shares.shares import Shares
 from coursefold.storage import codec, records
 from coursefold.storage.batches import Batch
@@ -76,7 +76,7 @@
         if node.number in self.without or node.version is not OURS:
             return
         settings = msgspec.convert(node.settings(), Settings)
-        check(self.file, settings)
+        check_shares_file(self.file, settings)
         self.shares[node.number] = Shares(SharesConfig(self.file, settings), node.core)
         if node.number not in self.watched:
             self.watched.add(node.number)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -355,10 +355,10 @@
 
 
 def _second_request(machine: str, record: MachineOwnership, epoch: int) -> Any:
-    from coursefold.shares.moves import Move, request
+    from coursefold.shares.moves import Move, request_move
 
     move = Move(machine, record.source, "n0", epoch, record.mode, record.expires_at, "second")
-    return request(move, record.roster_token, EPOCH)
+    return request_move(move, record.roster_token, EPOCH)
 
 
 def test_nothing_new_starts_on_a_machine_that_drains() -> None:
--- a/tests/test_shares_guards.py
+++ b/tests/test_shares_guards.py
@@ -128,7 +128,7 @@
     world = Pair()
     world.moves_to("n1", roster_token=1)
     requested_at = world.core.view.version_of(KEY)
-    assert world.shares.handover.waiting == {}
+    assert world.shares.handover.waiting_reasons == {}
     world.shares.handover.tick()
     assert not world.core.ctx.ownership.is_released(MACHINE)
     world.ticks(1.0)
@@ -265,7 +265,7 @@
     """The owner would refuse them too; but each would use up a move, and its time."""
     world = Pair()
     machine = world.core.ctx.machines[MACHINE]
-    assert [state.obstacle for state in world.shares.port.machines()] == [""]
+    assert [state.obstacle for state in world.shares.port.list_machines()] == [""]
     if how == "sick":
         machine.quarantined = True
     elif how == "silent":
@@ -274,10 +274,10 @@
         world.says([world.task()], RecallS=30.0)
     else:
         world.core.leader.requested_machines[MACHINE] = world.core.ctx.now + 9.0
-    states = world.shares.port.machines()
+    states = world.shares.port.list_machines()
     assert all(state.obstacle for state in states)
     transfer = Transfer("n0", "n1", 1)
-    assert world.shares.planner.choose(transfer, states, 1) == []
+    assert world.shares.planner.choose_machines(transfer, states, 1) == []
 
 
 def test_machines_of_the_new_owners_zone_go_first_and_empty_ones_among_them() -> None:
@@ -285,11 +285,11 @@
     state = MachineState("i-1", "g2", "a", "n0", 0, True, "")
     states = [
         state,
-        state._replace(id="i-2", zone="b", tasks=2),
+        state._replace(id="i-2", zone="b", ending_task_count=2),
         state._replace(id="i-3", zone="b"),
         state._replace(id="i-4", owner="n2"),
     ]
-    found = world.shares.planner.choose(Transfer("n0", "n1", 9), states, 9)
+    found = world.shares.planner.choose_machines(Transfer("n0", "n1", 9), states, 9)
     assert [s.id for s in found] == ["i-3", "i-2", "i-1"]
 
 
@@ -415,15 +415,18 @@
 @pytest.mark.parametrize(
     ("change", "record"),
     [
-        (moves.request(SECOND, 3, EPOCH), DRAINING),  # one at a time
-        (moves.request(SECOND._replace(epoch=5), 3, EPOCH), SETTLED),  # an epoch of before
-        (moves.withdraw(4, EPOCH, ""), DRAINING),  # another move's epoch
-        (moves.withdraw(5, EPOCH, ""), SETTLED),  # handed over already
-        (moves.withdraw(5, EPOCH, ""), None),
-        (moves.renew(DRAINING, 7), SETTLED),
-        (moves.hand_over(DRAINING, 6, 1, EPOCH), SETTLED),  # withdrawn
-        (moves.hand_over(DRAINING, 6, 1, EPOCH), msgspec.structs.replace(DRAINING, target="n2")),
-        (moves.forget(SETTLED), DRAINING),
+        (moves.request_move(SECOND, 3, EPOCH), DRAINING),  # one at a time
+        (moves.request_move(SECOND._replace(epoch=5), 3, EPOCH), SETTLED),  # an epoch of before
+        (moves.withdraw_move(4, EPOCH, ""), DRAINING),  # another move's epoch
+        (moves.withdraw_move(5, EPOCH, ""), SETTLED),  # handed over already
+        (moves.withdraw_move(5, EPOCH, ""), None),
+        (moves.renew_move(DRAINING, 7), SETTLED),
+        (moves.hand_over_machine(DRAINING, 6, 1, EPOCH), SETTLED),  # withdrawn
+        (
+            moves.hand_over_machine(DRAINING, 6, 1, EPOCH),
+            msgspec.structs.replace(DRAINING, target="n2"),
+        ),
+        (moves.delete_unchanged(SETTLED), DRAINING),
     ],
 )
 def test_a_step_that_comes_too_late_changes_nothing(
@@ -495,20 +498,20 @@
         move = moves.Move(
             MACHINE, self.owner(), new_owner, self.revision, MoveMode.FINISH, until, "drawn"
         )
-        self.send(moves.request(move, self.roster, EPOCH), late)
+        self.send(moves.request_move(move, self.roster, EPOCH), late)
 
     @precondition(lambda self: self.record is not None)
     @rule(late=sampled_from([False, True]))
     def withdraw(self, late: bool) -> None:
         assert self.record is not None
-        self.send(moves.withdraw(self.record.epoch, EPOCH, "drawn"), late)
+        self.send(moves.withdraw_move(self.record.epoch, EPOCH, "drawn"), late)
 
     @precondition(lambda self: self.record is not None and self.record.stage == MoveStage.DRAINING)
     @rule(late=sampled_from([False, True]))
     def hand_over(self, late: bool) -> None:
         assert self.record is not None
         if self.record.roster_token == self.roster:
-            self.send(moves.hand_over(self.record, self.stamp, 1, EPOCH), late)
+            self.send(moves.hand_over_machine(self.record, self.stamp, 1, EPOCH), late)
 
     @rule()
     def new_roster(self) -> None:
--- a/tests/test_shares_input.py
+++ b/tests/test_shares_input.py
@@ -16,7 +16,7 @@
 from coursefold.settings import Settings, SettingsError
 from coursefold.shares.config import ShareRule, load_shares
 from coursefold.shares.schedule import Schedule
-from coursefold.shares.targets import Target, apportion, resolve, transfers
+from coursefold.shares.targets import Target, apportion, compute_targets, compute_transfers
 from tests.shares_world import SharesFleet, shares_file
 from tests.test_shares import FAST, with_replicas
 from tests.world import EPOCH, SETTINGS
@@ -198,10 +198,10 @@
 def test_targets(
     shares: dict[str, float], machines: int, live: tuple[str, ...], expected: dict[str, int]
 ) -> None:
-    found = resolve(rules(**shares), machines, live, dict.fromkeys(live, 50))
-    assert {name: target.machines for name, target in found.items()} == expected
+    found = compute_targets(rules(**shares), machines, live, dict.fromkeys(live, 50))
+    assert {name: target.machine_count for name, target in found.items()} == expected
     short = {n: isinstance(s, int) and s > expected.get(n, s) for n, s in shares.items()}
-    assert {name: bool(target.why) for name, target in found.items()} == {
+    assert {name: bool(target.reason) for name, target in found.items()} == {
         name: short[name] for name in found
     }
 
@@ -216,14 +216,14 @@
 ) -> None:
     targets = {name: Target(count) for name, count in wanted.items()}
     after = dict(owned)
-    for source, target, count in transfers(owned, targets, tolerance, {}):
+    for source, target, count in compute_transfers(owned, targets, tolerance, {}):
         assert count > 0
         after[source] -= count
         after[target] += count
     assert sum(after.values()) == sum(owned.values())
     assert min(after.values()) >= 0
     for name, aim in targets.items():
-        was, now = owned[name] - aim.machines, after[name] - aim.machines
+        was, now = owned[name] - aim.machine_count, after[name] - aim.machine_count
         assert abs(now) <= max(abs(was), 0)  # none is further from its target than before
         if abs(was) <= tolerance and len(targets) == 1:
             assert now == was  # hysteresis
