--- a/coursefold/shares/__init__.py
+++ b/coursefold/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Shares: how many machines each controller owns, and moves of machines between them."""
+"""Shares: how many machines each controller of a cell owns, and moves between controllers."""
--- a/coursefold/shares/commands.py
+++ b/coursefold/shares/commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: move some machines for a while, and take that or a move back."""
+"""Operators' commands: request a temporary move of machines, and withdraw a request or moves."""
 
 import logging
 from collections.abc import Callable
@@ -18,14 +18,19 @@
 
 RequestId = Annotated[str, Meta(pattern="^[a-z0-9-]{1,64}$")]
 MAX_REQUEST_DURATION_S = 366 * 24 * 3600.0
-REQUEST_RETENTION_S = (
-    24 * 3600.0
-)  # a request that is over is still known so long, for repetitions of it
+REQUEST_RETENTION_S = 24 * 3600.0  # after expiry, to answer repetitions of a request
 MAX_REQUESTS = 500
 
 
 class MoveCommand(Struct, frozen=True, forbid_unknown_fields=True, rename="pascal"):
-    """So many machines of a type are to be another controller's until a time of day."""
+    """Body of `POST /shares/move`: move machines of a type to another controller for a while.
+
+    Attributes:
+        request_id: Chosen by the client; a repetition under the same id is answered as before.
+        expires_at: Wall-clock time in Unix seconds until which the request is in force.
+        zone: Zone of the machines; empty for all zones together.
+        mode: `drain` saves and stops tasks that fit elsewhere; `finish` waits until they end.
+    """
 
     request_id: RequestId
     source: ShortName = msgspec.field(name="From")
@@ -38,22 +43,22 @@
 
 
 class WithdrawCommand(Struct, frozen=True, forbid_unknown_fields=True, rename="pascal"):
-    """A request, or the moves of one epoch, are to be taken back."""
+    """Body of `POST /shares/withdraw`: exactly one of a request and an epoch of moves."""
 
     request_id: RequestId | None = None
     epoch: Annotated[int, Meta(ge=1)] | None = None
 
 
 class CommandRefusedError(Exception):
-    """A command that can't be carried out, with the status that says so."""
+    """Raised for a command that cannot be carried out; `status` is the HTTP status to answer."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, message: str) -> None:
+        super().__init__(message)
         self.status = status
 
 
 def describe_request(name: str, request: ShareRequest) -> dict[str, Any]:
-    """A request as operators see it."""
+    """Return a request as the body of an answer to operators."""
     return {
         "RequestId": name,
         "From": request.source,
@@ -69,14 +74,17 @@
 
 
 class OperatorCommands:
-    """Answers commands on the leader; the other controllers name it."""
+    """Carries out operators' commands on the leader.
+
+    Other controllers answer 503 and name the leader. `controllers` are all that the settings name.
+    """
 
     def __init__(self, port: CorePort, planner: MovePlanner, controllers: list[str]) -> None:
         self.port, self.planner = port, planner
         self.controllers = controllers
 
     def handle(self, path: str, body: bytes, ticket: int) -> bool:
-        """Carry out a command; False if there is none at this path."""
+        """Carry out the command at an HTTP path; return False if there is none at this path."""
         handlers = {"/shares/move": self._move, "/shares/withdraw": self._withdraw}
         handler = handlers.get(path)
         if handler is None:
@@ -87,11 +95,11 @@
                     503, f"ask the leader: {self.port.leader_name() or 'unknown'}"
                 )
             handler(body, ticket)
-        except msgspec.MsgspecError as wrong:
-            self.port.respond(ticket, 400, {"error": str(wrong)})
-        except CommandRefusedError as wrong:
-            retry_after = 1 if wrong.status == 503 else None
-            self.port.respond(ticket, wrong.status, {"error": str(wrong)}, retry_after)
+        except msgspec.MsgspecError as error:
+            self.port.respond(ticket, 400, {"error": str(error)})
+        except CommandRefusedError as error:
+            retry_after = 1 if error.status == 503 else None
+            self.port.respond(ticket, error.status, {"error": str(error)}, retry_after)
         return True
 
     # Move
@@ -111,22 +119,26 @@
 
         self._write_request(command.request_id, change, ticket)
         log.info(
-            "request %s: %d of %s from %s to %s",
+            "request %s: move %d machines of type %s from %s to %s",
             command.request_id, command.count, command.type, command.source, command.target,
         )  # fmt: skip
 
     def _answer_repetition(self, command: MoveCommand, known: ShareRequest, ticket: int) -> None:
-        """The same request is answered as it was; another one can not have its name."""
-        same = (
+        """Answer a repeated request as before; refuse another request under the same id."""
+        is_same = (
             (known.source, known.target, known.machine_type, known.zone, known.count)
             == (command.source, command.target, command.type, command.zone, command.count)
         )  # fmt: skip
-        if not same:
+        if not is_same:
             raise CommandRefusedError(422, f"RequestId: {command.request_id} is another request")
         self.port.respond(ticket, 200, describe_request(command.request_id, known))
 
     def _build_request(self, command: MoveCommand) -> ShareRequest:
-        """The request with the counts that it asks for."""
+        """Check a command and return its request, with the machine counts that result from it.
+
+        Raises:
+            CommandRefusedError: The command names something unknown or asks for too much.
+        """
         port = self.port
         for field, name in (("From", command.source), ("To", command.target)):
             if name not in self.controllers:
@@ -150,8 +162,8 @@
         self._check_scope(command)
         owned = self._count_owned(command)
         if owned[command.source] < command.count:
-            have = owned[command.source]
-            raise CommandRefusedError(422, f"Count: {command.source} owns {have} of them")
+            available = owned[command.source]
+            raise CommandRefusedError(422, f"Count: {command.source} owns {available} of them")
         return ShareRequest(
             command.source,
             command.target,
@@ -166,14 +178,18 @@
         )
 
     def _check_scope(self, command: MoveCommand) -> None:
-        """A type is shared out by zones or as a whole."""
-        for build, zone in self.planner.find_effective_shares().rules:
-            if build == command.type and bool(zone) != bool(command.zone):
+        """Refuse a request by zone for a type shared as a whole, and the other way round."""
+        for machine_type, zone in self.planner.find_effective_shares().rules:
+            if machine_type == command.type and bool(zone) != bool(command.zone):
                 how = "by zones" if zone else "without zones"
-                raise CommandRefusedError(422, f"Zone: {build} is shared out {how}")
+                raise CommandRefusedError(422, f"Zone: {machine_type} is shared out {how}")
 
     def _count_owned(self, command: MoveCommand) -> dict[str, int]:
-        """What the two controllers have, or are about to have by the shares in force."""
+        """Return the machine counts of the two controllers: their targets, else what they own.
+
+        A request is relative to the targets of the shares in force, as moves towards these may
+        still be in progress.
+        """
         scope = (command.type, command.zone)
         owned = self.planner.count_owned(select_machines(scope, self.port.list_machines()))
         targets = self.planner.find_targets(scope)
@@ -200,12 +216,16 @@
             self._withdraw_request(command.request_id, ticket)
 
     def _withdraw_epoch(self, epoch: int, ticket: int) -> None:
-        ended = self._withdraw_moves(lambda record: record.epoch == epoch)
-        self.port.respond(ticket, 200, {"Epoch": epoch, "Machines": ended})
-
-    def _withdraw_moves(self, chosen: Callable[[MachineOwnership], bool]) -> list[str]:
-        """Withdraw the moves that are chosen; their machines."""
-        found = {m: r for m, r in self.port.view.moves_in_progress.items() if chosen(r)}
+        machines = self._withdraw_moves(lambda record: record.epoch == epoch)
+        self.port.respond(ticket, 200, {"Epoch": epoch, "Machines": machines})
+
+    def _withdraw_moves(self, is_selected: Callable[[MachineOwnership], bool]) -> list[str]:
+        """Withdraw the selected moves; return the names of their machines, sorted."""
+        found = {
+            name: record
+            for name, record in self.port.view.moves_in_progress.items()
+            if is_selected(record)
+        }
         for machine, record in found.items():
             self.planner.withdraw(machine, record, "withdrawn by an operator")
         return sorted(found)
@@ -224,14 +244,14 @@
             return msgspec.structs.replace(current, withdrawn=True)
 
         self._write_request(name, change, ticket)
-        why = NamedRequest(name, known).move_reason
-        self._withdraw_moves(lambda record: record.why == why)
+        reason = NamedRequest(name, known).move_reason
+        self._withdraw_moves(lambda record: record.why == reason)
         log.info("request %s withdrawn", name)
 
-    # Requests that are over
+    # Expired requests
 
     def delete_expired_request(self) -> None:
-        """Remove one request that has been over for long, when nothing else is to be written."""
+        """Delete one request past its retention time, if the commit queue has spare rate."""
         port = self.port
         if not port.is_leading() or not port.has_spare_write_rate():
             return
--- a/coursefold/shares/config.py
+++ b/coursefold/shares/config.py
@@ -1,4 +1,4 @@
-"""The file of shares, read and checked before anything else happens."""
+"""The shares file: its structure, and the checks made before a controller uses it."""
 
 import re
 from collections.abc import Iterable
@@ -29,54 +29,88 @@
 
 
 class ShareRule(Struct, frozen=True, forbid_unknown_fields=True):
-    """What one controller is to own of a machine type: a count of machines, or a weight."""
+    """The share of one controller in a machine type: a count of machines, or a weight.
+
+    Attributes:
+        controller: Name of a controller in the settings.
+        type: Machine type that is shared.
+        zone: Zone of the machines; empty for all zones together.
+        machines: Machines that the controller is to own; exactly one of this and `weight` is set.
+        weight: Part of the machines that are left after all counts, relative to other weights.
+    """
 
     controller: ShortName
     type: ShortName
-    zone: str = ""  # empty: all zones together
+    zone: str = ""
     machines: MachineCount | None = None
     weight: Weight | None = None
 
     @property
     def scope(self) -> tuple[str, str]:
-        """The machines that the rule shares out."""
+        """Return the machine type and zone that the rule applies to."""
         return (self.type, self.zone)
 
 
 class Window(Struct, frozen=True, forbid_unknown_fields=True):
-    """Shares that hold at certain times of the week instead of the usual ones."""
+    """Shares that replace those of the same controllers and scopes at certain times of the week.
+
+    Attributes:
+        name: Name shown to operators.
+        start: Local time (HH:MM) at which the window opens.
+        end: Local time at which it closes, on the next day if it is not after `start`.
+        shares: Shares in force while the window is open.
+        days: Weekdays on which the window opens.
+        holidays: Whether it also opens on public holidays, skips them, or opens only on them.
+    """
 
     name: ShortName
     start: str
-    end: str  # the next day, where it is not after `start`
+    end: str
     shares: list[ShareRule]
-    days: tuple[Weekday, ...] = WEEKDAYS  # on which it begins
+    days: tuple[Weekday, ...] = WEEKDAYS
     holidays: Literal["also", "skip", "only"] = "also"
 
 
 class MoveLimits(Struct, frozen=True, forbid_unknown_fields=True):
-    """How fast machines change hands."""
+    """Limits on the rate and the duration of moves.
+
+    Attributes:
+        at_once: Moves that may be in progress at the same time.
+        a_minute: Moves that may be requested in a minute.
+        mode: `drain` saves and stops tasks that fit elsewhere; `finish` waits until they end.
+        limit_s: Time after which a move that is still in progress is withdrawn.
+        retry_s: Time after a withdrawn move during which its machine is not moved.
+        tolerance: Machines by which a controller may differ from its target without a move.
+    """
 
     at_once: PositiveCount = 10
     a_minute: PositiveCount = 60
     mode: ModeName = "finish"
-    limit_s: PositiveSeconds = 900.0  # a move that is not done by then is withdrawn
-    retry_s: PositiveSeconds = 60.0  # before the same machine is tried again
-    tolerance: MachineCount = 1  # machines by which a share may be off
+    limit_s: PositiveSeconds = 900.0
+    retry_s: PositiveSeconds = 60.0
+    tolerance: MachineCount = 1
 
 
 class SharesFile(Struct, frozen=True, forbid_unknown_fields=True):
-    """`deploy/shares.toml`: the same file for every controller."""
+    """The parsed shares file (`deploy/shares.toml`), the same for every controller of a cell.
+
+    Attributes:
+        shares: Shares in force while no window is open, or which the open window leaves unchanged.
+        windows: Windows, no two of which are open at the same time.
+        moves: Limits on moves.
+        timezone: IANA name of the time zone of the windows.
+        holidays: ISO code of the country whose public holidays count, such as "IE"; empty: none.
+    """
 
     shares: list[ShareRule] = []
     windows: list[Window] = []
     moves: MoveLimits = MoveLimits()
     timezone: ShortName = "UTC"
-    holidays: str = ""  # a country's public holidays, by its ISO code: "IE", "ZA"
+    holidays: str = ""
 
 
 class SharesConfig:
-    """The checked file."""
+    """A shares file that was checked, with the values that its users derive from it."""
 
     def __init__(self, file: SharesFile, settings: Settings) -> None:
         self.file = file
@@ -86,90 +120,103 @@
 
 
 def list_controllers(settings: Settings) -> list[str]:
-    """All controllers that the settings name."""
+    """Return the names of all controllers in the settings, this one first."""
     return [settings.member, *(sibling.member for sibling in settings.siblings)]
 
 
 def parse_clock(text: str) -> time:
-    """`18:30` as a time of day."""
+    """Parse a time of day such as `18:30`; raise ValueError for any other text."""
     match = _CLOCK_TIME_PATTERN.fullmatch(text)
     if match is None:
-        raise ValueError(f"{text!r} is no time of day (HH:MM)")
+        raise ValueError(f"{text!r} is not a time of day (HH:MM)")
     return time(int(match[1]), int(match[2]))
 
 
 def _check_rules(
-    rules: list[ShareRule], where: str, names: Iterable[str], zones: list[str]
+    rules: list[ShareRule], path: str, controllers: Iterable[str], zones: list[str]
 ) -> None:
+    """Check a list of shares; `path` is its field in the file, for error messages."""
     seen: set[tuple[str, str, str]] = set()
-    for at, rule in enumerate(rules):
-        field = f"{where}[{at}]"
-        if rule.controller not in names:
+    for index, rule in enumerate(rules):
+        field = f"{path}[{index}]"
+        if rule.controller not in controllers:
             raise SettingsError(f"{field}.controller: {rule.controller!r} is not in the settings")
         if rule.zone and rule.zone not in zones:
             raise SettingsError(f"{field}.zone: {rule.zone!r} is not in params.zones")
         if (rule.machines is None) == (rule.weight is None):
-            raise SettingsError(f"{field}: either machines or weight")
+            raise SettingsError(f"{field}: either machines or weight has to be set, and not both")
         key = (rule.controller, *rule.scope)
         if key in seen:
             raise SettingsError(f"{field}: {rule.controller} has a share of {rule.type} already")
         seen.add(key)
 
 
-def _check_scopes(rules: list[ShareRule], where: str) -> None:
-    """A type is shared out by zones or as a whole, or machines would count twice."""
+def _check_scopes(rules: list[ShareRule], path: str) -> None:
+    """Check that each type is shared by zones or as a whole; else machines would count twice."""
     by_zone = {rule.type: bool(rule.zone) for rule in rules}
-    for at, rule in enumerate(rules):
+    for index, rule in enumerate(rules):
         if bool(rule.zone) != by_zone[rule.type]:
-            raise SettingsError(f"{where}[{at}].zone: {rule.type} is shared with and without zones")
+            raise SettingsError(
+                f"{path}[{index}].zone: {rule.type} is shared with and without zones"
+            )
 
 
 def _open_minutes_of_week(window: Window) -> set[int]:
-    """The minutes of a week in which the window is open, without regard to holidays."""
+    """Return the minutes of the week in which the window is open, regardless of holidays."""
     start = parse_clock(window.start)
     end = parse_clock(window.end)
-    first = start.hour * 60 + start.minute
-    length = (end.hour * 60 + end.minute - first) % MINUTES_PER_DAY or MINUTES_PER_DAY
-    opens = [WEEKDAYS.index(day) * MINUTES_PER_DAY + first for day in window.days]
-    return {(at + minute) % MINUTES_PER_WEEK for at in opens for minute in range(length)}
+    start_minute = start.hour * 60 + start.minute
+    length = (end.hour * 60 + end.minute - start_minute) % MINUTES_PER_DAY or MINUTES_PER_DAY
+    openings = [WEEKDAYS.index(day) * MINUTES_PER_DAY + start_minute for day in window.days]
+    return {
+        (opening + minute) % MINUTES_PER_WEEK for opening in openings for minute in range(length)
+    }
 
 
 def _check_windows(file: SharesFile, settings: Settings) -> None:
-    names = list_controllers(settings)
-    for at, window in enumerate(file.windows):
-        where = f"windows[{at}]"
+    """Check each window, and that no two of them are open at the same time."""
+    controllers = list_controllers(settings)
+    for index, window in enumerate(file.windows):
+        path = f"windows[{index}]"
         for field, text in (("start", window.start), ("end", window.end)):
             try:
                 parse_clock(text)
-            except ValueError as wrong:
-                raise SettingsError(f"{where}.{field}: {wrong}") from None
+            except ValueError as error:
+                raise SettingsError(f"{path}.{field}: {error}") from None
         if not window.days:
-            raise SettingsError(f"{where}.days: none is named")
+            raise SettingsError(f"{path}.days: none is named; give at least one weekday")
         if window.holidays != "also" and not file.holidays:
-            raise SettingsError(f"{where}.holidays: the file names no country's holidays")
-        _check_rules(window.shares, f"{where}.shares", names, settings.params.zones)
-        _check_scopes([*file.shares, *window.shares], f"{where}.shares")
-        for other in file.windows[:at]:
+            raise SettingsError(
+                f"{path}.holidays: the file names no country; set holidays to its ISO code"
+            )
+        _check_rules(window.shares, f"{path}.shares", controllers, settings.params.zones)
+        _check_scopes([*file.shares, *window.shares], f"{path}.shares")
+        for other in file.windows[:index]:
             if {window.holidays, other.holidays} == {"only", "skip"}:
-                continue  # never on the same day
+                continue  # never open on the same day
             if _open_minutes_of_week(window) & _open_minutes_of_week(other):
-                raise SettingsError(f"{where}: overlaps with window {other.name!r}")
+                raise SettingsError(f"{path}: overlaps with window {other.name!r}")
 
 
 def _check_calendar(file: SharesFile) -> None:
+    """Check that the time zone and the country of the holidays are known."""
     try:
         ZoneInfo(file.timezone)
     except (ZoneInfoNotFoundError, ValueError, OSError):
         raise SettingsError(f"timezone: {file.timezone!r} is not known") from None
     if file.holidays:
-        from holidays import list_supported_countries  # 9 MB, only where they are asked for
+        from holidays import list_supported_countries  # 9 MB of memory, needed only with holidays
 
         if file.holidays not in list_supported_countries():
             raise SettingsError(f"holidays: the country {file.holidays!r} is not known")
 
 
 def check_shares_file(file: SharesFile, settings: Settings) -> None:
-    """What types alone cannot say."""
+    """Check what the field types do not express.
+
+    Raises:
+        SettingsError: A value is wrong; the message begins with its field.
+    """
     _check_calendar(file)
     _check_rules(file.shares, "shares", list_controllers(settings), settings.params.zones)
     _check_scopes(file.shares, "shares")
@@ -177,7 +224,7 @@
 
 
 def load_shares(path: Path, settings: Settings) -> SharesConfig:
-    """Read and check the file; every fault is a SettingsError that names the field."""
+    """Read and check a shares file; raise a SettingsError that names the field of any fault."""
 
     def read(raw: dict[str, Any]) -> SharesConfig:
         file = msgspec.convert(raw, SharesFile)
