--- a/coursefold/shares/planner.py
+++ b/coursefold/shares/planner.py
@@ -1,4 +1,4 @@
-"""The leader's part: from the shares in force to moves, and the moves that are to be ended."""
+"""The leader's part: requests moves towards the shares in force, and withdraws moves."""
 
 import logging
 from collections import Counter
@@ -19,47 +19,70 @@
 
 PLAN_INTERVAL_S = 1.0
 CLEANUP_INTERVAL_S = 10.0
-GONE_MACHINE_RETENTION_S = 300.0  # a record outlives its machine by so long: lists may lag
+GONE_MACHINE_RETENTION_S = 300.0  # of a record without a machine: cloud lists may lag
 SECONDS_PER_MINUTE = 60.0
-YIELD_AFTER_S = 30.0  # a machine that waiting jobs could use is held back by its move
+YIELD_AFTER_S = 30.0  # time for which a move may block a machine that waiting jobs could use
 
 
 class ScopeStatus(NamedTuple):
-    """How one scope stands: machines by controller, and what they are to be."""
+    """The state of one scope at the last plan, by controller.
+
+    Attributes:
+        targets: Machines that controllers are to own.
+        owned: Machines that they own.
+        unreported: Those of the owned machines that the owner does not report.
+    """
 
     targets: dict[str, Target]
     owned: Counter[str]
-    unreported: Counter[str]  # of these, machines that their owner does not show
+    unreported: Counter[str]
 
 
 class EffectiveShares(NamedTuple):
-    """What is in force: rules by scope, and how moves that they cause are made."""
+    """The shares in force, and the source of the moves that they cause.
+
+    Attributes:
+        rules: Rules by scope, with the counts of operators' requests.
+        requests: The latest operators' request of each scope that has one.
+        reason: Reason of the moves that no request causes.
+    """
 
     rules: dict[Scope, list[ShareRule]]
-    requests: dict[Scope, "NamedRequest"]  # the last one of each
+    requests: dict[Scope, "NamedRequest"]
     reason: str
 
 
 class NamedRequest(NamedTuple):
-    """An operator's request by its id."""
+    """An operator's request with its id."""
 
     name: str
     request: ShareRequest
 
     @property
     def move_reason(self) -> str:
-        """The reason of the moves that it causes."""
+        """Return the reason that the moves caused by this request carry."""
         return f"request {self.name}"
 
 
 def select_machines(scope: Scope, states: Iterable[MachineState]) -> list[MachineState]:
-    """The machines of a type and, if one is named, a zone."""
-    build, zone = scope
-    return [state for state in states if state.machine_type == build and zone in ("", state.zone)]
+    """Return the machines of a scope's type and, if it names one, zone."""
+    machine_type, zone = scope
+    return [
+        state for state in states if state.machine_type == machine_type and zone in ("", state.zone)
+    ]
 
 
 class MovePlanner:
-    """Requests and withdraws moves while its controller leads."""
+    """Requests, renews and withdraws moves while its controller leads.
+
+    Attributes:
+        move_rate_limit: Tokens for moves that may be requested now.
+        leading_token: Fencing token of the roster under which it leads; 0 if it does not lead.
+        last_epoch: Epoch of the latest moves that it requested.
+        paused_until: Until when machines are not moved because a move was withdrawn, by name.
+        scope_status: State of each scope at the last plan.
+        outcomes: Counts of moves requested and withdrawn by this process.
+    """
 
     def __init__(self, config: SharesConfig, port: CorePort) -> None:
         self.config, self.port = config, port
@@ -76,7 +99,7 @@
         self.outcomes: Counter[str] = Counter()
 
     def tick(self) -> None:
-        """One round: end what is to be ended, then plan once a second."""
+        """Withdraw moves that cannot complete; then, once per `PLAN_INTERVAL_S`, plan new ones."""
         port = self.port
         if not port.is_leading():
             self.leading_token = 0
@@ -92,31 +115,32 @@
         self._plan_moves()
         self._delete_unneeded_records()
 
-    # Moves under way
+    # Moves in progress
 
     def _withdraw_or_renew_moves(self) -> None:
-        """Withdraw moves that can not, or no longer should, come to their handover."""
+        """Withdraw moves that cannot complete; renew the others if the roster has changed."""
         port = self.port
         for machine, record in list(port.view.moves_in_progress.items()):
-            why = self._find_withdrawal_reason(machine, record)
-            if why:
-                self.withdraw(machine, record, why)
+            reason = self._find_withdrawal_reason(machine, record)
+            if reason:
+                self.withdraw(machine, record, reason)
             elif record.roster_token != port.view.fencing_token:
                 change = renew_move(record, port.view.fencing_token)
                 port.change_ownership(machine, change, f"renew {port.view.fencing_token}")
 
     def _yield_to_waiting_jobs(self) -> None:
-        """Give machines back to jobs that have waited for long and would fit there.
+        """Withdraw moves of machines on which long-waiting jobs would fit.
 
-        A machine that is to move takes nothing new until its tasks have ended, which may be
-        long; nobody is to wait for a minute and a half beside room that fits. But where jobs
-        wait all the time, machines have to move as well: each may be held back for a while.
+        A machine that is to move accepts no new tasks until its tasks have ended, which may take
+        long; no job should wait for 90 seconds while a machine that fits it is free. But machines
+        have to move also where jobs wait all the time, so each move may block its machine for
+        `YIELD_AFTER_S`.
         """
-        wall = self.port.ctx.wall_time
+        wall_time = self.port.ctx.wall_time
         moving = {
             machine: record
             for machine, record in self.port.view.moves_in_progress.items()
-            if wall - record.stage_started_at >= YIELD_AFTER_S
+            if wall_time - record.stage_started_at >= YIELD_AFTER_S
         }
         if not moving:
             return
@@ -124,6 +148,7 @@
             self.withdraw(machine, moving[machine], "jobs have waited for its room")
 
     def _find_withdrawal_reason(self, machine: str, record: MachineOwnership) -> str:
+        """Return why a move should not go on; empty if it should."""
         port = self.port
         if record.target not in port.member_names() or port.owner_of(machine) != record.source:
             return "its controllers have changed"
@@ -133,172 +158,192 @@
             return "the machine is being returned"
         return ""
 
-    def withdraw(self, machine: str, record: MachineOwnership, why: str) -> None:
-        """Withdraw a move; the machine stays with its owner, and is left alone for a while."""
+    def withdraw(self, machine: str, record: MachineOwnership, reason: str) -> None:
+        """Withdraw a move; the machine keeps its owner and is not moved for `retry_s`."""
         port = self.port
-        change = withdraw_move(record.epoch, port.ctx.wall_time, why)
+        change = withdraw_move(record.epoch, port.ctx.wall_time, reason)
         if port.change_ownership(machine, change, f"withdraw {record.epoch}"):
-            log.info("move %d of %s withdrawn: %s", record.epoch, machine, why)
+            log.info("move %d of machine %s withdrawn: %s", record.epoch, machine, reason)
             self.outcomes["withdrawn"] += 1
         self.paused_until[machine] = MonotonicTime(port.ctx.now + self.limits.retry_s)
 
     # The plan
 
     def find_effective_shares(self) -> EffectiveShares:
-        """The rules of the open window or the usual ones, and over them operators' requests."""
-        wall = self.port.ctx.wall_time
-        window = self.schedule.window_at(wall)
+        """Return the rules of the open window and the file, overridden by operators' requests."""
+        wall_time = self.port.ctx.wall_time
+        window = self.schedule.window_at(wall_time)
         rules: dict[Scope, list[ShareRule]] = {}
-        for rule in self.schedule.rules_at(wall):
+        for rule in self.schedule.rules_at(wall_time):
             rules.setdefault(rule.scope, []).append(rule)
         requests: dict[Scope, NamedRequest] = {}
-        by_age = sorted(
+        by_request_time = sorted(
             self.port.view.share_requests.items(), key=lambda item: item[1].requested_at
         )
-        for name, found in by_age:
-            if found.withdrawn or wall >= found.expires_at:
+        for name, request in by_request_time:
+            if request.withdrawn or wall_time >= request.expires_at:
                 continue
-            scope = (found.machine_type, found.zone)
-            requests[scope] = NamedRequest(name, found)
-            counts = ((found.source, found.source_count), (found.target, found.target_count))
-            for controller, machines in counts:
-                kept = [r for r in rules.get(scope, []) if r.controller != controller]
-                rule = ShareRule(controller, found.machine_type, found.zone, machines=machines)
-                rules[scope] = [*kept, rule]
+            scope = (request.machine_type, request.zone)
+            requests[scope] = NamedRequest(name, request)
+            counts = (
+                (request.source, request.source_count),
+                (request.target, request.target_count),
+            )
+            for controller, machine_count in counts:
+                others = [r for r in rules.get(scope, []) if r.controller != controller]
+                rule = ShareRule(
+                    controller, request.machine_type, request.zone, machines=machine_count
+                )
+                rules[scope] = [*others, rule]
         return EffectiveShares(rules, requests, f"window {window.name}" if window else "shares")
 
     def _plan_moves(self) -> None:
+        """Compare all scopes with their targets, and request the moves that limits allow."""
         port = self.port
-        plan = self.find_effective_shares()
+        shares = self.find_effective_shares()
         self.scope_status = {}
-        if not plan.rules:
+        if not shares.rules:
             return
         states = port.list_machines()
-        under_way = port.view.moves_in_progress
+        moves = port.view.moves_in_progress
         wanted: list[tuple[Transfer, list[MachineState], Scope]] = []
-        for scope, rules in plan.rules.items():
-            members = select_machines(scope, states)
-            owned = dict.fromkeys(port.member_names(), 0) | self.count_owned(members)
-            most = self._max_owned(members, states)
-            targets = compute_targets(rules, len(members), port.member_names(), most)
-            unshown = Counter(s.owner for s in members if not s.is_reported)
-            now_owned = Counter(s.owner for s in members)
-            self.scope_status[scope] = ScopeStatus(targets, now_owned, unshown)
+        for scope, rules in shares.rules.items():
+            machines = select_machines(scope, states)
+            owned = dict.fromkeys(port.member_names(), 0) | self.count_owned(machines)
+            max_owned = self._max_owned(machines, states)
+            targets = compute_targets(rules, len(machines), port.member_names(), max_owned)
+            unreported_counts = Counter(s.owner for s in machines if not s.is_reported)
+            owned_now = Counter(s.owner for s in machines)
+            self.scope_status[scope] = ScopeStatus(targets, owned_now, unreported_counts)
             if port.has_complete_inventory():
-                # A request is for so many machines, and not for about as many.
-                tolerance = 0 if scope in plan.requests else self.limits.tolerance
-                found = compute_transfers(owned, targets, tolerance, most)
-                wanted.extend((transfer, members, scope) for transfer in found)
-        room = min(
-            self.limits.at_once - len(under_way), int(self.move_rate_limit.refill(port.ctx.now))
+                # A request names an exact number of machines, so no tolerance applies to it.
+                tolerance = 0 if scope in shares.requests else self.limits.tolerance
+                transfers = compute_transfers(owned, targets, tolerance, max_owned)
+                wanted.extend((transfer, machines, scope) for transfer in transfers)
+        max_requests = min(
+            self.limits.at_once - len(moves), int(self.move_rate_limit.refill(port.ctx.now))
         )
-        self._request_moves(plan, wanted, room)
+        self._request_moves(shares, wanted, max_requests)
 
     def find_targets(self, scope: Scope) -> dict[str, Target]:
-        """What the controllers are to own of a scope by what is in force now."""
+        """Return the targets of a scope under the shares in force now."""
         states = self.port.list_machines()
-        members = select_machines(scope, states)
+        machines = select_machines(scope, states)
         rules = self.find_effective_shares().rules.get(scope, [])
         return compute_targets(
-            rules, len(members), self.port.member_names(), self._max_owned(members, states)
+            rules, len(machines), self.port.member_names(), self._max_owned(machines, states)
         )
 
     def _max_owned(
-        self, members: Iterable[MachineState], states: Iterable[MachineState]
+        self, machines: Iterable[MachineState], states: Iterable[MachineState]
     ) -> dict[str, int]:
-        """Machines of a scope that each controller has connections for, beside its others."""
-        owned, all_owned = self.count_owned(members), self.count_owned(states)
-        most = self.port.max_machines()
-        return {name: most - all_owned[name] + owned[name] for name in self.port.member_names()}
+        """Return how many machines of a scope each controller has connections for.
+
+        These are the connections for workers less those that its machines of other scopes use.
+        """
+        owned, all_owned = self.count_owned(machines), self.count_owned(states)
+        max_machines = self.port.max_machines()
+        return {
+            name: max_machines - all_owned[name] + owned[name] for name in self.port.member_names()
+        }
 
     def count_owned(self, states: Iterable[MachineState]) -> Counter[str]:
-        """Machines by owner, those on their way counted where they go."""
-        under_way = self.port.view.moves_in_progress
-        return Counter(under_way[s.id].target if s.id in under_way else s.owner for s in states)
+        """Count machines by owner; one that is being moved counts for its new owner."""
+        moves = self.port.view.moves_in_progress
+        return Counter(moves[s.id].target if s.id in moves else s.owner for s in states)
 
     def _request_moves(
         self,
-        plan: EffectiveShares,
+        shares: EffectiveShares,
         wanted: Sequence[tuple[Transfer, list[MachineState], Scope]],
-        room: int,
+        max_requests: int,
     ) -> None:
-        """Request moves, as many as may be under way at once, all under one epoch.
+        """Request at most `max_requests` moves, all under one epoch.
 
-        An epoch is a revision that nobody has used: a round that finds the records as they
-        were in the last one waits for them to change.
+        The epoch is the view's revision, which must be higher than the last epoch. So a round
+        that finds the records unchanged since the last requests does nothing.
         """
         epoch = self.port.view.revision
         if epoch <= self.last_epoch:
             return
-        for transfer, members, scope in wanted:
-            count = transfer.machine_count - self._withdraw_reverse_moves(transfer, members)
-            for state in self.choose_machines(transfer, members, min(count, room)):
-                room -= 1
+        for transfer, machines, scope in wanted:
+            count = transfer.machine_count - self._withdraw_reverse_moves(transfer, machines)
+            for state in self.choose_machines(transfer, machines, min(count, max_requests)):
+                max_requests -= 1
                 self.last_epoch = epoch
-                self._request_move(state, transfer, plan, scope, epoch)
+                self._request_move(state, transfer, shares, scope, epoch)
+
+    def _withdraw_reverse_moves(self, transfer: Transfer, machines: Iterable[MachineState]) -> int:
+        """Withdraw moves in the opposite direction, rather than move other machines back.
 
-    def _withdraw_reverse_moves(self, transfer: Transfer, members: Iterable[MachineState]) -> int:
-        """Withdraw moves that go the other way, rather than move another machine back."""
+        Returns:
+            How many moves were withdrawn, at most as many as the transfer has machines.
+        """
         port = self.port
-        ended = 0
-        for state in members:
+        withdrawn_count = 0
+        for state in machines:
             record = port.view.moves_in_progress.get(state.id)
-            if record is None or ended >= transfer.machine_count:
+            if record is None or withdrawn_count >= transfer.machine_count:
                 continue
             if (record.source, record.target) == (transfer.target, transfer.source):
                 self.withdraw(state.id, record, "the shares have changed")
-                ended += 1
-        return ended
+                withdrawn_count += 1
+        return withdrawn_count
 
     def choose_machines(
-        self, transfer: Transfer, members: Iterable[MachineState], count: int
+        self, transfer: Transfer, machines: Iterable[MachineState], count: int
     ) -> list[MachineState]:
-        """Machines of the new owner's zone first, then those that can be moved soonest.
+        """Return up to `count` machines of the source that can be moved.
 
-        A cut between zones parts a machine from an owner in another one, as with the hash.
+        Machines in the new owner's zone come first, as a network partition between zones
+        separates a machine from an owner in another zone; ownership by hash prefers the zone for
+        the same reason. Among them, those with the fewest tasks that have to end come first.
         """
         port = self.port
-        near = {member.zone for member in port.roster_members() if member.name == transfer.target}
-        found = [
+        target_zones = {
+            member.zone for member in port.roster_members() if member.name == transfer.target
+        }
+        candidates = [
             state
-            for state in members
+            for state in machines
             if state.owner == transfer.source
             and not state.obstacle
             and state.id not in port.view.moves_in_progress
             and self.paused_until.get(state.id, port.ctx.now) <= port.ctx.now
         ]
-        found.sort(key=lambda s: (s.zone not in near, s.ending_task_count, s.id))
-        return found[: max(0, count)]
+        candidates.sort(key=lambda s: (s.zone not in target_zones, s.ending_task_count, s.id))
+        return candidates[: max(0, count)]
 
     def _request_move(
         self,
         state: MachineState,
         transfer: Transfer,
-        plan: EffectiveShares,
+        shares: EffectiveShares,
         scope: Scope,
         epoch: int,
     ) -> None:
+        """Request one move; its mode and reason are those of the request that causes it, if any."""
         port = self.port
-        wall = port.ctx.wall_time
-        mode, why = self.config.mode, plan.reason
-        asked = plan.requests.get(scope)
-        if asked is not None and asked.request.source == transfer.source:
-            mode, why = asked.request.mode, asked.move_reason
-        until = wall + self.limits.limit_s
-        move = Move(state.id, transfer.source, transfer.target, epoch, mode, until, why)
-        change = request_move(move, port.view.fencing_token, wall)
+        wall_time = port.ctx.wall_time
+        mode, reason = self.config.mode, shares.reason
+        named = shares.requests.get(scope)
+        if named is not None and named.request.source == transfer.source:
+            mode, reason = named.request.mode, named.move_reason
+        expires_at = wall_time + self.limits.limit_s
+        move = Move(state.id, transfer.source, transfer.target, epoch, mode, expires_at, reason)
+        change = request_move(move, port.view.fencing_token, wall_time)
         if port.change_ownership(state.id, change, "request"):
             self.move_rate_limit.spend(port.ctx.now, 1)
             self.outcomes["requested"] += 1
             log.info(
-                "move %d: %s from %s to %s, by %s",
-                epoch, state.id, transfer.source, transfer.target, why,
+                "move %d: machine %s from %s to %s, because of %s",
+                epoch, state.id, transfer.source, transfer.target, reason,
             )  # fmt: skip
 
     # Records that are no longer needed
 
     def _delete_unneeded_records(self) -> None:
-        """Remove records that change nothing, when nothing else is to be written."""
+        """Delete records without effect, while the commit queue has spare rate."""
         port = self.port
         if (
             port.ctx.now - self.last_cleanup_at < CLEANUP_INTERVAL_S
@@ -313,11 +358,11 @@
                 port.is_gone(machine)
                 and port.ctx.wall_time - record.stage_started_at > GONE_MACHINE_RETENTION_S
             )
-            # Its token must not fall: only a later roster's can stand for it.
-            says_nothing = record.token < port.view.fencing_token and port.is_owned_by_hash(
+            # The machine's fencing token must not fall, so the roster's has to be higher.
+            has_no_effect = record.token < port.view.fencing_token and port.is_owned_by_hash(
                 machine, record
             )
-            if is_gone or says_nothing:
+            if is_gone or has_no_effect:
                 port.change_ownership(
-                    machine, delete_unchanged(record), "forget", rank=LOW_PRIORITY
+                    machine, delete_unchanged(record), "forget", priority=LOW_PRIORITY
                 )
--- a/coursefold/shares/shares.py
+++ b/coursefold/shares/shares.py
@@ -1,4 +1,4 @@
-"""A controller's part in the shares: rounds, operators' commands, its condition."""
+"""Connects shares to a controller's core: rounds, operators' commands, health status."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 class Shares:
-    """Attached to a controller's core; without I/O, clock or randomness, as that is."""
+    """Extension of a controller's core; like the core it has no I/O, clock or randomness."""
 
     def __init__(self, config: SharesConfig, core: Core) -> None:
         self.port = CorePort(core)
@@ -27,22 +27,22 @@
         core.extensions.append(self)
 
     def tick(self) -> None:
-        """One round of the core."""
+        """Run the shares' part of one round of the core."""
         self.handover.tick()
         self.durations.tick()
         self.planner.tick()
         self.commands.delete_expired_request()
 
     def handle_operator_command(self, path: str, body: bytes, ticket: int) -> bool:
-        """An operator's command."""
+        """Carry out the command at an HTTP path; return False if there is none at this path."""
         return self.commands.handle(path, body, ticket)
 
     # For operators
 
     def health_status(self) -> dict[str, Any]:
-        """What `coursefold shares` shows."""
-        wall = self.port.ctx.wall_time
-        window = self.planner.schedule.window_at(wall)
+        """Return the status that `coursefold shares` shows."""
+        wall_time = self.port.ctx.wall_time
+        window = self.planner.schedule.window_at(wall_time)
         requests = sorted(self.port.view.share_requests.items())
         return {
             "shares": {
@@ -56,15 +56,15 @@
                 "requests": [
                     describe_request(name, request)
                     for name, request in requests
-                    if wall < request.expires_at
+                    if wall_time < request.expires_at
                 ],
             }
         }
 
     def _scopes(self) -> list[dict[str, Any]]:
-        """Machines by controller, and what they are to be."""
-        found = []
-        for (build, zone), status in self.planner.scope_status.items():
+        """Return for each scope the machines and the target of each controller."""
+        scopes = []
+        for (machine_type, zone), status in self.planner.scope_status.items():
             names = sorted({*status.owned, *status.targets, *self.port.member_names()})
             rows = []
             for name in names:
@@ -78,12 +78,15 @@
                         "why": target.reason if target else "",
                     }
                 )
-            found.append({"type": build, "zone": zone, "controllers": rows})
-        return found
+            scopes.append({"type": machine_type, "zone": zone, "controllers": rows})
+        return scopes
 
     def _moves(self) -> list[dict[str, Any]]:
-        """Moves under way, the oldest first; why not yet is known to the old owner alone."""
-        under_way = sorted(
+        """Return moves in progress, oldest first.
+
+        Only the old owner knows what a move waits for; elsewhere that text is empty.
+        """
+        moves = sorted(
             self.port.view.moves_in_progress.items(), key=lambda item: item[1].stage_started_at
         )
         return [
@@ -97,5 +100,5 @@
                 "why": record.why,
                 "waits": self.handover.waiting_reasons.get(machine, ""),
             }
-            for machine, record in under_way[:MAX_LISTED_MOVES]
+            for machine, record in moves[:MAX_LISTED_MOVES]
         ]
