--- a/coursefold/cells/cells.py
+++ b/coursefold/cells/cells.py
@@ -5,12 +5,12 @@
 
 from coursefold.cells.config import CellsConfig
 from coursefold.cells.decisions import DecisionLog
-from coursefold.cells.directory import Directory, OtherCell
+from coursefold.cells.directory import CellDirectory, RemoteCell
 from coursefold.cells.guest import GuestSide
 from coursefold.cells.home import HomeSide
-from coursefold.cells.messages import Frame, dump_frame
+from coursefold.cells.messages import Frame, encode_frame
 from coursefold.cells.port import CorePort
-from coursefold.cells.waits import WaitLog
+from coursefold.cells.waits import WaitTracker
 from coursefold.coordination.core import Core
 from coursefold.histograms import read_summary, summarize
 from coursefold.protocol.ids import MonotonicTime
@@ -19,9 +19,9 @@
 
 log = logging.getLogger(__name__)
 
-WAITS_EVERY_S = 10.0
-MOVED_SHOWN = 50  # jobs, and
-DECISIONS_SHOWN = 20  # decisions in a controller's condition
+WAITS_ENCODE_INTERVAL_S = 10.0
+MAX_MOVED_JOBS_SHOWN = 50  # jobs, and
+MAX_DECISIONS_SHOWN = 20  # decisions in a controller's condition
 
 
 class Cells:
@@ -30,82 +30,82 @@
     def __init__(self, config: CellsConfig, core: Core) -> None:
         self.config, self.core = config, core
         self.port = CorePort(core)
-        self.directory = Directory(config, core.ctx)
-        self.waits = WaitLog(core.view)
+        self.directory = CellDirectory(config, core.ctx)
+        self.waits = WaitTracker(core.view)
         self.decisions = DecisionLog(lambda: core.ctx.wall_time)
         self.home = HomeSide(config, self.port, self.directory, self.waits, self.decisions)
         self.guest = GuestSide(config, self.port, self.directory, self.decisions)
-        self.seq = 0
-        self.led_token = 0
-        self.lapsed: dict[str, bool] = {}
-        self.waits_at = MonotonicTime(-1e9)
+        self.sequence = 0
+        self.leading_token = 0
+        self.expired_grants: dict[str, bool] = {}
+        self.waits_encoded_at = MonotonicTime(-1e9)
         self.encoded_waits = b""
         core.upgrade.require_level(records.CELLS_LEVEL)
         core.extensions.append(self)
 
     def tick(self) -> None:
         """One round of the core."""
-        self.home.observe()
-        self._stop_lapsed()
-        if not self.port.leads():
-            self.led_token = 0
+        self.home.observe_grants()
+        self._stop_guests_of_expired_grants()
+        if not self.port.is_leading():
+            self.leading_token = 0
             return
-        if self.led_token != self.core.view.fencing_token:
-            self.led_token = self.core.view.fencing_token
-            self._forget_frames()
+        if self.leading_token != self.core.view.fencing_token:
+            self.leading_token = self.core.view.fencing_token
+            self._discard_frames()
         self.home.tick()
         self.guest.tick()
         ctx = self.core.ctx
-        self.waits.look(ctx.now, ctx.wall_time)
-        if ctx.now - self.waits_at > WAITS_EVERY_S:
-            self.waits_at = ctx.now
-            self.encoded_waits = self.waits.encoded()
+        self.waits.record_started_jobs(ctx.now, ctx.wall_time)
+        if ctx.now - self.waits_encoded_at > WAITS_ENCODE_INTERVAL_S:
+            self.waits_encoded_at = ctx.now
+            self.encoded_waits = self.waits.encode_histogram()
 
-    def _forget_frames(self) -> None:
+    def _discard_frames(self) -> None:
         """Frames from before we led may be older than what a former leader acted on."""
         for cell in self.directory.cells.values():
             cell.frame, cell.pools = None, []
-            cell.heard_at = MonotonicTime(-1e9)
+            cell.last_frame_at = MonotonicTime(-1e9)
 
-    def _stop_lapsed(self) -> None:
+    def _stop_guests_of_expired_grants(self) -> None:
         """On every controller: stop the tasks of guests as soon as their grant has ended."""
         ctx = self.core.ctx
         for home in ctx.grants.seen_grants:
             now_lapsed = ctx.grants.has_expired(home, ctx.now, ctx.wall_time)
-            if now_lapsed and not self.lapsed.get(home, True):
+            if now_lapsed and not self.expired_grants.get(home, True):
                 guests = self.core.view.guest_jobs.items()
                 names = [n for n, job in guests if job.guest and job.guest.home_cell == home]
                 if names:
                     log.info("the grant of %s has ended: %d jobs are stopped", home, len(names))
                     self.core.stop_cancelled_tasks(names)
-            self.lapsed[home] = now_lapsed
+            self.expired_grants[home] = now_lapsed
 
-    def take(self, raw: bytes, address: str) -> bool:
+    def receive_frame(self, raw: bytes, address: str) -> bool:
         """A frame from another cell; False if its connection should end."""
-        if not self.port.leads():
+        if not self.port.is_leading():
             return True  # the leader is told as well
-        return self.directory.take(raw, address) is not None
+        return self.directory.receive_frame(raw, address) is not None
 
-    def frame(self, name: str, member: str) -> bytes:
+    def build_frame(self, name: str, member: str) -> bytes:
         """The next frame for a controller of another cell; empty if it is told nothing."""
-        if not self.port.leads() or not self.directory.speaks_to(name, member):
+        if not self.port.is_leading() or not self.directory.is_recipient(name, member):
             return b""
         cell = self.directory.cells[name]
-        self.seq += 1
+        self.sequence += 1
         ctx = self.core.ctx
         workers = ctx.settings.params.workers
         frame = Frame(
             cell=self.config.cell,
             member=str(ctx.own_name),
-            token=self.core.view.fencing_token,
-            seq=self.seq,
+            fencing_token=self.core.view.fencing_token,
+            sequence=self.sequence,
             sent_at=ctx.wall_time,
             lease_s=workers.lease_s,
             cancel_s=workers.cancel_s,
             draining=self.config.spill.draining,
-            waits=self.encoded_waits,
+            wait_histogram=self.encoded_waits,
         )
-        return dump_frame(self.guest.fill(self.home.fill(frame, cell), cell))
+        return encode_frame(self.guest.add_guest_part(self.home.add_home_part(frame, cell), cell))
 
     # For operators
 
@@ -119,18 +119,18 @@
         return {
             "cells": {
                 "cell": self.config.cell,
-                "on": self.port.leads(),
+                "on": self.port.is_leading(),
                 "draining": self.config.spill.draining,
-                "others": [self._describe(cell) for cell in self.directory.cells.values()],
+                "others": [self._describe_cell(cell) for cell in self.directory.cells.values()],
                 "home": dict(self.home.counts),
                 "guest": dict(self.guest.counts),
                 "waits": waits._asdict(),
-                "moved": self._moved(),
-                "decisions": self.decisions.shown(DECISIONS_SHOWN),
+                "moved": self._describe_moved_jobs(),
+                "decisions": self.decisions.list_newest(MAX_DECISIONS_SHOWN),
             }
         }
 
-    def _moved(self) -> list[dict[str, Any]]:
+    def _describe_moved_jobs(self) -> list[dict[str, Any]]:
         """Our jobs in other cells and theirs here, those that moved last first."""
         wall, view = self.core.ctx.wall_time, self.core.view
         found: list[tuple[float, str, str, str]] = []
@@ -153,10 +153,10 @@
                 )
         return [
             {"job": name, "where": where, "stage": stage, "for_s": round(max(0.0, wall - at), 1)}
-            for at, name, where, stage in sorted(found, reverse=True)[:MOVED_SHOWN]
+            for at, name, where, stage in sorted(found, reverse=True)[:MAX_MOVED_JOBS_SHOWN]
         ]
 
-    def _describe(self, cell: OtherCell) -> dict[str, Any]:
+    def _describe_cell(self, cell: RemoteCell) -> dict[str, Any]:
         ctx, view = self.core.ctx, self.core.view
         away = [
             job.delegation
@@ -164,8 +164,12 @@
             if job.delegation and job.delegation.guest_cell == cell.name
         ]
         guests = [j for j in view.guest_jobs.values() if j.guest and j.guest.home_cell == cell.name]
-        heard = ctx.now - cell.heard_at
-        summary = read_summary(cell.frame.waits) if cell.frame and cell.frame.waits else None
+        heard = ctx.now - cell.last_frame_at
+        summary = (
+            read_summary(cell.frame.wait_histogram)
+            if cell.frame and cell.frame.wait_histogram
+            else None
+        )
         return {
             "cell": cell.name,
             "reachable": self.directory.is_reachable(cell.name),
@@ -174,6 +178,6 @@
             "offered": sum(a.stage == DelegationStage.OFFERED for a in away),
             "away": sum(a.stage != DelegationStage.OFFERED for a in away),
             "guests": len(guests),
-            "free_slots": round(sum(pool.free for pool in cell.pools), 1),
+            "free_slots": round(sum(pool.free_slots for pool in cell.pools), 1),
             "waits": summary._asdict() if summary else None,
         }
--- a/coursefold/cells/config.py
+++ b/coursefold/cells/config.py
@@ -9,19 +9,19 @@
 
 from coursefold.settings import Settings, SettingsError, read_file, split_address
 
-Name = Annotated[str, Meta(min_length=1, max_length=64, pattern="^[a-z0-9-]+$")]
-Seconds = Annotated[float, Meta(gt=0, le=3600)]
-Count = Annotated[int, Meta(ge=1, le=5_000)]  # a frame has room for so many jobs
-Share = Annotated[float, Meta(gt=0, le=1)]
+CellName = Annotated[str, Meta(min_length=1, max_length=64, pattern="^[a-z0-9-]+$")]
+PositiveSeconds = Annotated[float, Meta(gt=0, le=3600)]
+PositiveCount = Annotated[int, Meta(ge=1, le=5_000)]  # a frame has room for so many jobs
+Fraction = Annotated[float, Meta(gt=0, le=1)]
 
-SKEW_CLOCKS = 2  # home's and guest's clock, each off by the bound
+SKEWED_CLOCK_COUNT = 2  # home's and guest's clock, each off by the bound
 CANCEL_MARGIN_S = 1.0
 
 
 class CellEntry(Struct, frozen=True, forbid_unknown_fields=True):
     """One cell: its controllers by member, where they listen for other cells, its networks."""
 
-    name: Name
+    name: CellName
     controllers: dict[str, str]
     networks: list[str]
 
@@ -29,29 +29,29 @@
 class SpillLimits(Struct, frozen=True, forbid_unknown_fields=True):
     """What this cell sends to others, and when."""
 
-    jobs: Count = 200  # away at once, at each other cell
-    offers: Count = 8  # unanswered at once, at each other cell
-    after_s: Seconds = 5.0  # a job has waited so long before it is offered
-    min_gain_s: Seconds = 20.0  # of expected wait, beyond fetch, handover and price
-    return_pause_s: Seconds = 120.0  # before a job is offered again where it came back from
-    start_s: Seconds = 180.0  # a job that runs nowhere after so long is taken back
+    jobs: PositiveCount = 200  # away at once, at each other cell
+    offers: PositiveCount = 8  # unanswered at once, at each other cell
+    after_s: PositiveSeconds = 5.0  # a job has waited so long before it is offered
+    min_gain_s: PositiveSeconds = 20.0  # of expected wait, beyond fetch, handover and price
+    return_pause_s: PositiveSeconds = 120.0  # before a job is offered again where it came back from
+    start_s: PositiveSeconds = 180.0  # a job that runs nowhere after so long is taken back
     draining: bool = False  # offers nothing, takes no guests
 
 
 class GuestLimits(Struct, frozen=True, forbid_unknown_fields=True):
     """What this cell takes from others."""
 
-    jobs: Count = 200  # at once, all other cells together
-    share: Share = 0.5  # of a pool's slots
-    growth: Count = 8  # machines that may be rented for guests at once
+    jobs: PositiveCount = 200  # at once, all other cells together
+    share: Fraction = 0.5  # of a pool's slots
+    growth: PositiveCount = 8  # machines that may be rented for guests at once
 
 
 class CellsFile(Struct, frozen=True, forbid_unknown_fields=True):
     """`deploy/cells.toml`: the same file for every controller of a cell."""
 
-    cell: Name
+    cell: CellName
     cells: list[CellEntry]
-    grant_s: Seconds | None = None
+    grant_s: PositiveSeconds | None = None
     spill: SpillLimits = SpillLimits()
     guests: GuestLimits = GuestLimits()
 
@@ -66,24 +66,24 @@
         self.entries = {entry.name: entry for entry in file.cells}
         self.networks = {entry.name: IPSet(entry.networks) for entry in file.cells}
         self.listen = self.entries[file.cell].controllers[settings.member]
-        self.grant_s = file.grant_s or longest_grant(settings)
+        self.grant_s = file.grant_s or max_grant_s(settings)
 
     @property
-    def others(self) -> list[CellEntry]:
+    def other_cells(self) -> list[CellEntry]:
         """The cells that work may go to and come from."""
         return [entry for entry in self.file.cells if entry.name != self.cell]
 
-    def allows(self, cell: str, address: str) -> bool:
+    def is_allowed_address(self, cell: str, address: str) -> bool:
         """May frames of the cell come from this address?"""
         networks = self.networks.get(cell)
         return networks is not None and cell != self.cell and IPAddress(address) in networks
 
-    def allows_any(self, address: str) -> bool:
+    def is_other_cell_address(self, address: str) -> bool:
         """Is the address within any other cell's networks?"""
-        return any(self.allows(entry.name, address) for entry in self.others)
+        return any(self.is_allowed_address(entry.name, address) for entry in self.other_cells)
 
 
-def longest_grant(settings: Settings, lease_s: float | None = None) -> float:
+def max_grant_s(settings: Settings, lease_s: float | None = None) -> float:
     """The longest grant under which a cancellation is kept in a cell that can't be reached.
 
     A grant that was renewed just before the cancellation runs out, then the leases of the
@@ -91,7 +91,7 @@
     """
     workers = settings.params.workers
     lease = workers.lease_s if lease_s is None else lease_s
-    skew = SKEW_CLOCKS * settings.params.skew_ms / 1000.0
+    skew = SKEWED_CLOCK_COUNT * settings.params.skew_ms / 1000.0
     return workers.cancel_s - lease * 1.002 - skew - CANCEL_MARGIN_S
 
 
@@ -128,7 +128,7 @@
                 raise SettingsError(f"cells[{at}].networks: overlap with those of {other.name}")
 
 
-def check(file: CellsFile, settings: Settings) -> None:
+def check_cells_file(file: CellsFile, settings: Settings) -> None:
     """What types alone cannot say."""
     names = [entry.name for entry in file.cells]
     if file.cell not in names:
@@ -142,7 +142,7 @@
     own = file.cells[names.index(file.cell)]
     if settings.member not in own.controllers:
         raise SettingsError(f"cells[{names.index(file.cell)}].controllers: {settings.member} lacks")
-    longest = longest_grant(settings)
+    longest = max_grant_s(settings)
     if longest <= 0:
         raise SettingsError("params.workers.cancel_s: too short for any grant to another cell")
     if file.grant_s is not None and file.grant_s > longest:
@@ -154,7 +154,7 @@
 
     def read(raw: dict[str, Any]) -> CellsConfig:
         file = msgspec.convert(raw, CellsFile)
-        check(file, settings)
+        check_cells_file(file, settings)
         return CellsConfig(file, settings)
 
     return read_file(path, read)
--- a/coursefold/cells/decisions.py
+++ b/coursefold/cells/decisions.py
@@ -11,10 +11,10 @@
 
 log = logging.getLogger(__name__)
 
-KEPT = 200  # the newest, in memory; all are in the log
+MAX_DECISIONS = 200  # the newest, in memory; all are in the log
 
 
-class Step(StrEnum):
+class HandoverStep(StrEnum):
     """What was decided; the first five by a job's home cell."""
 
     OFFER = "offer"
@@ -32,38 +32,41 @@
 class Decision(NamedTuple):
     """One step of one job's handover; `cell` is the other one."""
 
-    at: float  # time of day
-    step: Step
+    decided_at: float  # time of day
+    step: HandoverStep
     job: JobId
     cell: str
     epoch: int
     reservation: str
-    why: str
+    reason: str
 
-    def line(self) -> str:
+    def format_line(self) -> str:
         """In one line, as in the log."""
         reservation = f", reservation {self.reservation}" if self.reservation else ""
-        why = f": {self.why}" if self.why else ""
+        why = f": {self.reason}" if self.reason else ""
         return f"{self.step} {self.job}, cell {self.cell}, epoch {self.epoch}{reservation}{why}"
 
 
 class DecisionLog:
     """Logs decisions, counts them, and keeps the newest."""
 
-    def __init__(self, wall: Callable[[], float]) -> None:
-        self.wall = wall
-        self.newest: deque[Decision] = deque(maxlen=KEPT)
-        self.counts: Counter[Step] = Counter()
+    def __init__(self, wall_clock: Callable[[], float]) -> None:
+        self.wall_clock = wall_clock
+        self.newest: deque[Decision] = deque(maxlen=MAX_DECISIONS)
+        self.counts: Counter[HandoverStep] = Counter()
 
-    def note(self, step: Step, cell: str, handle: Handle, why: str = "") -> None:
+    def record(self, step: HandoverStep, cell: str, handle: Handle, reason: str = "") -> None:
         """A step was decided and is being written."""
         job, epoch, reservation = handle
-        decision = Decision(self.wall(), step, job, cell, epoch, reservation, why)
+        decision = Decision(self.wall_clock(), step, job, cell, epoch, reservation, reason)
         self.newest.append(decision)
         self.counts[step] += 1
-        log.info("%s", decision.line())
+        log.info("%s", decision.format_line())
 
-    def shown(self, most: int) -> list[dict[str, Any]]:
+    def list_newest(self, limit: int) -> list[dict[str, Any]]:
         """The newest decisions, the last one first, for a controller's condition."""
-        found = list(self.newest)[-most:][::-1]
-        return [{"at": round(decision.at, 1), "line": decision.line()} for decision in found]
+        found = list(self.newest)[-limit:][::-1]
+        return [
+            {"at": round(decision.decided_at, 1), "line": decision.format_line()}
+            for decision in found
+        ]
--- a/coursefold/cells/directory.py
+++ b/coursefold/cells/directory.py
@@ -8,90 +8,93 @@
 import re
 
 from coursefold.cells.config import CellsConfig
-from coursefold.cells.messages import BadFrameError, Frame, PoolState, read_frame
+from coursefold.cells.messages import Frame, InvalidFrameError, PoolState, decode_frame
 from coursefold.coordination.context import Context
 from coursefold.protocol.ids import MonotonicTime
 
 log = logging.getLogger(__name__)
 
-_NUMBERS = re.compile(r"[0-9.]+")
-LATE_S = 3.0  # beyond the clocks' bounds: held back on its way
-REACHABLE_S = 3.0
-COMPLAIN_EVERY_S = 60.0
-MOST_COMPLAINTS = 100
-LEADER_S = 2.0  # of silence: then any of its controllers may lead
+_NUMBER_PATTERN = re.compile(r"[0-9.]+")
+MAX_DELIVERY_DELAY_S = 3.0  # beyond the clocks' bounds: held back on its way
+REACHABLE_TIMEOUT_S = 3.0
+LOG_REPEAT_INTERVAL_S = 60.0
+MAX_LOGGED_FAULTS = 100
+LEADER_TIMEOUT_S = 2.0  # of silence: then any of its controllers may lead
 
 
-class OtherCell:
+class RemoteCell:
     """One of the other cells."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.frame: Frame | None = None
-        self.heard_at = MonotonicTime(-1e9)
+        self.last_frame_at = MonotonicTime(-1e9)
         self.pools: list[PoolState] = []  # less what was offered since
 
     def is_newer(self, frame: Frame) -> bool:
         """Was this frame sent after the one that we have?"""
         known = self.frame
-        return known is None or (frame.token, frame.seq) > (known.token, known.seq)
+        return known is None or (frame.fencing_token, frame.sequence) > (
+            known.fencing_token,
+            known.sequence,
+        )
 
 
-class Directory:
+class CellDirectory:
     """The other cells, by name."""
 
     def __init__(self, config: CellsConfig, ctx: Context) -> None:
         self.config, self.ctx = config, ctx
-        self.cells = {entry.name: OtherCell(entry.name) for entry in config.others}
-        self.complained: dict[tuple[str, str], MonotonicTime] = {}
+        self.cells = {entry.name: RemoteCell(entry.name) for entry in config.other_cells}
+        self.logged_faults: dict[tuple[str, str], MonotonicTime] = {}
 
-    def take(self, raw: bytes, address: str) -> OtherCell | None:
+    def receive_frame(self, raw: bytes, address: str) -> RemoteCell | None:
         """Note a frame; the cell that it is of, or None if it changes nothing."""
         try:
-            frame = read_frame(raw)
-            cell = self._sender(frame, address)
-        except BadFrameError as wrong:
-            self._complain(address, str(wrong))
+            frame = decode_frame(raw)
+            cell = self._check_sender(frame, address)
+        except InvalidFrameError as wrong:
+            self._log_dropped_frame(address, str(wrong))
             return None
         if not cell.is_newer(frame):
-            log.debug("cell frame %d of %s comes late", frame.seq, frame.cell)
+            log.debug("cell frame %d of %s comes late", frame.sequence, frame.cell)
             return None
-        cell.frame, cell.heard_at = frame, self.ctx.now
+        cell.frame, cell.last_frame_at = frame, self.ctx.now
         cell.pools = list(frame.pools)
         return cell
 
-    def _complain(self, address: str, why: str) -> None:
+    def _log_dropped_frame(self, address: str, reason: str) -> None:
         """One log line a minute for the same fault: frames come twice a second."""
-        fault = (address, _NUMBERS.sub("", why))
-        last = self.complained.get(fault)
-        if last is not None and self.ctx.now - last < COMPLAIN_EVERY_S:
+        fault = (address, _NUMBER_PATTERN.sub("", reason))
+        last = self.logged_faults.get(fault)
+        if last is not None and self.ctx.now - last < LOG_REPEAT_INTERVAL_S:
             return
-        if len(self.complained) >= MOST_COMPLAINTS:
-            self.complained.clear()
-        self.complained[fault] = self.ctx.now
-        log.error("cell frame from %s dropped: %s", address, why)
+        if len(self.logged_faults) >= MAX_LOGGED_FAULTS:
+            self.logged_faults.clear()
+        self.logged_faults[fault] = self.ctx.now
+        log.error("cell frame from %s dropped: %s", address, reason)
 
-    def _sender(self, frame: Frame, address: str) -> OtherCell:
+    def _check_sender(self, frame: Frame, address: str) -> RemoteCell:
         cell = self.cells.get(frame.cell)
         if cell is None:
-            raise BadFrameError(f"unknown cell {frame.cell[:40]!r}")
-        if not self.config.allows(frame.cell, address):
-            raise BadFrameError(f"cell {frame.cell} has no such address")
+            raise InvalidFrameError(f"unknown cell {frame.cell[:40]!r}")
+        if not self.config.is_allowed_address(frame.cell, address):
+            raise InvalidFrameError(f"cell {frame.cell} has no such address")
         if frame.member not in self.config.entries[frame.cell].controllers:
-            raise BadFrameError(f"cell {frame.cell} has no controller {frame.member[:40]!r}")
+            raise InvalidFrameError(f"cell {frame.cell} has no controller {frame.member[:40]!r}")
         skew = 2.0 * self.ctx.settings.params.skew_ms / 1000.0
-        if abs(self.ctx.wall_time - frame.sent_at) > LATE_S + skew:
-            raise BadFrameError(f"sent {self.ctx.wall_time - frame.sent_at:.1f} s ago")
+        if abs(self.ctx.wall_time - frame.sent_at) > MAX_DELIVERY_DELAY_S + skew:
+            raise InvalidFrameError(f"sent {self.ctx.wall_time - frame.sent_at:.1f} s ago")
         return cell
 
     def is_reachable(self, name: str) -> bool:
         """Was the cell heard a moment ago?"""
         cell = self.cells.get(name)
-        return cell is not None and self.ctx.now - cell.heard_at < REACHABLE_S
+        return cell is not None and self.ctx.now - cell.last_frame_at < REACHABLE_TIMEOUT_S
 
-    def speaks_to(self, name: str, member: str) -> bool:
+    def is_recipient(self, name: str, member: str) -> bool:
         """Should frames to the cell go to this controller? To all while none is known to lead."""
         cell = self.cells[name]
-        if cell.frame is None or self.ctx.now - cell.heard_at > LEADER_S:
+        if cell.frame is None or self.ctx.now - cell.last_frame_at > LEADER_TIMEOUT_S:
             return True
         return cell.frame.member == member
--- a/coursefold/cells/edits.py
+++ b/coursefold/cells/edits.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Struct
 
-from coursefold.cells.messages import GuestState, Handle, Offer, Ranges
+from coursefold.cells.messages import GuestState, Handle, Offer, TaskRanges
 from coursefold.coordination.jobs import end_if_complete
 from coursefold.storage import records
 from coursefold.storage.cell_records import CellLink, Delegation, DelegationStage, Guest, GuestStage
@@ -17,10 +17,10 @@
 replace = msgspec.structs.replace
 
 
-def merged(done: Ranges, more: Ranges) -> Ranges:
+def merge_ranges(ranges: TaskRanges, added: TaskRanges) -> TaskRanges:
     """Ranges of task numbers brought together, in order."""
-    found: Ranges = []
-    for low, high in sorted([*done, *more]):
+    found: TaskRanges = []
+    for low, high in sorted([*ranges, *added]):
         if found and low <= found[-1][1] + 1:
             found[-1] = (found[-1][0], max(high, found[-1][1]))
         else:
@@ -31,7 +31,9 @@
 # The home cell's
 
 
-def _away(record: Struct | None, cell: str, handle: Handle) -> tuple[JobRecord, Delegation]:
+def _require_delegation(
+    record: Struct | None, cell: str, handle: Handle
+) -> tuple[JobRecord, Delegation]:
     """The record, if the job is away under this epoch."""
     if not isinstance(record, JobRecord) or record.delegation is None:
         raise NotApplicableError("not away")
@@ -41,7 +43,7 @@
     return record, away
 
 
-def offer(away: Delegation, ready: float) -> Change:
+def offer_job(away: Delegation, ready: float) -> Change:
     """From here on nothing of the job starts at home, until it has come back."""
 
     def change(record: Struct | None) -> EditResult:
@@ -65,11 +67,11 @@
     return change
 
 
-def grant(cell: str, handle: Handle, wall: float) -> Change:
+def grant_job(cell: str, handle: Handle, wall: float) -> Change:
     """The guest cell has reserved room: it may start the job, for as long as the grant holds."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _away(record, cell, handle)
+        job, away = _require_delegation(record, cell, handle)
         if away.stage != DelegationStage.OFFERED or job.status != records.LIVE:
             raise NotApplicableError("not offered")
         granted = replace(
@@ -87,7 +89,7 @@
     """The guest cell says that tasks run: for the job's user."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _away(record, cell, handle)
+        job, away = _require_delegation(record, cell, handle)
         if away.stage != DelegationStage.GRANTED or away.reservation != handle.reservation:
             raise NotApplicableError("not granted")
         return replace(
@@ -97,31 +99,31 @@
     return change
 
 
-def note_progress(cell: str, handle: Handle, done: Ranges) -> Change:
+def note_progress(cell: str, handle: Handle, done: TaskRanges) -> Change:
     """Tasks that the guest cell says are done: shown to users, and not repeated if it is lost."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _away(record, cell, handle)
+        job, away = _require_delegation(record, cell, handle)
         if away.stage == DelegationStage.OFFERED or away.reservation != handle.reservation:
             raise NotApplicableError("another reservation")
-        return replace(job, done_ranges=_with_done(job, done))
+        return replace(job, done_ranges=_add_done_ranges(job, done))
 
     return change
 
 
-def _with_done(job: JobRecord, done: Ranges) -> Ranges:
+def _add_done_ranges(job: JobRecord, done: TaskRanges) -> TaskRanges:
     """The job's done tasks and those that it has been told of."""
-    found = merged(job.done_ranges, done)
+    found = merge_ranges(job.done_ranges, done)
     if found == job.done_ranges or found[-1][1] >= job.spec.task_count:
         raise NotApplicableError("nothing new, or no such task")
     return found
 
 
-def withdraw(cell: str, handle: Handle, wall: float, why: str) -> Change:
+def withdraw_job(cell: str, handle: Handle, wall: float, why: str) -> Change:
     """Have the guest cell stop and release the job."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _away(record, cell, handle)
+        job, away = _require_delegation(record, cell, handle)
         if away.stage not in (DelegationStage.GRANTED, DelegationStage.RUNNING):
             raise NotApplicableError("not granted")
         return replace(
@@ -134,7 +136,7 @@
     return change
 
 
-def take_back(
+def return_job(
     cell: str, handle: Handle, wall: float, why: str, told: GuestState | None = None
 ) -> Change:
     """The job is at home again: on the guest cell's word, on proof, or before any grant.
@@ -143,23 +145,27 @@
     """
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _away(record, cell, handle)
+        job, away = _require_delegation(record, cell, handle)
         if away.stage != DelegationStage.OFFERED and away.reservation != handle.reservation:
             raise NotApplicableError("another reservation")
         back = replace(away, stage=DelegationStage.HOME, stage_started_at=wall, why=why)
         if told is not None:
-            done = [r for r in merged(job.done_ranges, told.done) if r[1] < job.spec.task_count]
+            done = [
+                r
+                for r in merge_ranges(job.done_ranges, told.done_ranges)
+                if r[1] < job.spec.task_count
+            ]
             job = replace(job, done_ranges=done, attempt=max(job.attempt, told.attempt))
         return end_if_complete(replace(job, delegation=back))
 
     return change
 
 
-def finish(cell: str, handle: Handle) -> Change:
+def finish_job(cell: str, handle: Handle) -> Change:
     """The guest cell has finished the job."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _away(record, cell, handle)
+        job, away = _require_delegation(record, cell, handle)
         if away.stage == DelegationStage.OFFERED or away.reservation != handle.reservation:
             raise NotApplicableError("another reservation")
         if job.status == records.CANCELLED:
@@ -184,7 +190,7 @@
 # The guest cell's
 
 
-def reserve(home: str, item: Offer, reservation: str, wall: float) -> Change:
+def reserve_job(home: str, item: Offer, reservation: str, wall: float) -> Change:
     """Promise room for another cell's job; nothing of it starts yet."""
 
     def change(record: Struct | None) -> EditResult:
@@ -193,9 +199,9 @@
         guest = Guest(home, item.handle.epoch, reservation, GuestStage.RESERVED, wall)
         return JobRecord(
             item.spec,
-            item.at,
+            item.accepted_at,
             attempt=item.attempt,
-            done_ranges=item.done,
+            done_ranges=item.done_ranges,
             ready_at=wall,
             guest=guest,
         )
@@ -203,7 +209,7 @@
     return change
 
 
-def _guest(record: Struct | None, home: str, handle: Handle) -> tuple[JobRecord, Guest]:
+def _require_guest(record: Struct | None, home: str, handle: Handle) -> tuple[JobRecord, Guest]:
     if not isinstance(record, JobRecord) or record.guest is None:
         raise NotApplicableError("not a guest")
     guest = record.guest
@@ -220,7 +226,7 @@
     """Home has granted the reservation: its tasks may be placed."""
 
     def change(record: Struct | None) -> EditResult:
-        job, guest = _guest(record, home, handle)
+        job, guest = _require_guest(record, home, handle)
         if guest.stage != GuestStage.RESERVED or job.status != records.LIVE:
             raise NotApplicableError("not reserved")
         return replace(job, guest=replace(guest, stage=GuestStage.GRANTED, stage_started_at=wall))
@@ -228,11 +234,11 @@
     return change
 
 
-def revoke(home: str, handle: Handle) -> Change:
+def revoke_job(home: str, handle: Handle) -> Change:
     """Nothing of it starts any more; what has a place is stopped, and then it is released."""
 
     def change(record: Struct | None) -> EditResult:
-        job, guest = _guest(record, home, handle)
+        job, guest = _require_guest(record, home, handle)
         if job.status != records.LIVE or guest.stage not in (
             GuestStage.RESERVED,
             GuestStage.GRANTED,
@@ -244,11 +250,11 @@
     return change
 
 
-def forget(home: str, handle: Handle) -> Change:
+def delete_guest(home: str, handle: Handle) -> Change:
     """Its home has confirmed what became of it, or never granted it: the record goes."""
 
     def change(record: Struct | None) -> EditResult:
-        job, guest = _guest(record, home, handle)
+        job, guest = _require_guest(record, home, handle)
         if job.entries or guest.stage == GuestStage.GRANTED:
             raise NotApplicableError("it may still run")
         return DeleteKey()
@@ -256,7 +262,7 @@
     return change
 
 
-def hold_grant(until: float, span: float) -> Change:
+def record_held_grant(until: float, span: float) -> Change:
     """What home has told us: guests may run until then."""
 
     def change(record: Struct | None) -> EditResult:
--- a/coursefold/cells/estimate.py
+++ b/coursefold/cells/estimate.py
@@ -14,88 +14,90 @@
 from coursefold.coordination.queueing import evaluate_queue
 from coursefold.protocol.wire import Job
 
-BOOT_FACTOR = 1.3  # machines take up to half as long again
-LONGEST_S = 3600.0  # beyond it one wait is as bad as another
-BUSIEST = 0.99  # of a pool's slots; from there on the wait is told by what is ahead
-ZONES_APART = 2
+BOOT_TIME_FACTOR = 1.3  # machines take up to half as long again
+MAX_WAIT_S = 3600.0  # beyond it one wait is as bad as another
+MAX_UTILIZATION = 0.99  # of a pool's slots; from there on the wait is told by what is ahead
+MIN_SPREAD_ZONES = 2
 
 
-class Expectation(NamedTuple):
+class ExpectedWait(NamedTuple):
     """An expected wait in seconds, and the number of the pool."""
 
-    wait: float
-    pool: int
+    wait_s: float
+    pool_index: int
 
 
-def pool_state(demand: PoolDemand, growth: float) -> PoolState:
+def compute_pool_state(demand: PoolDemand, growth_slots: float) -> PoolState:
     """A pool as it is, booting machines included, before anything that waits is placed."""
     size = float(demand.machine_count * demand.slots_per_machine)
     mean_run = demand.mean_batch_run_s if demand.batch_slots else demand.mean_run_s
     steady = 0.0
     rate = demand.arrived_slots / demand.window_s
-    if 0 < rate * demand.mean_run_s < BUSIEST * size:
+    if 0 < rate * demand.mean_run_s < MAX_UTILIZATION * size:
         steady = (
             evaluate_queue(int(size), rate, 1 / demand.mean_run_s).mean_wait_s * demand.batch_factor
         )
     return PoolState(
-        kind=demand.type_info,
+        type_info=demand.type_info,
         spot=demand.spot,
-        price=demand.price_per_slot_s,
-        free=max(0.0, size - demand.busy_slots),
-        ahead=0.0,
+        price_per_slot_s=demand.price_per_slot_s,
+        free_slots=max(0.0, size - demand.busy_slots),
+        queued_slots=0.0,
         # Of a pool that is full; what is free is told apart. Replicas do not end by themselves.
-        drain=max(0.0, size - demand.standing_slots) / max(1.0, mean_run),
-        steady_s=min(LONGEST_S, steady),
-        growth=growth,
+        freed_slots_per_s=max(0.0, size - demand.standing_slots) / max(1.0, mean_run),
+        steady_wait_s=min(MAX_WAIT_S, steady),
+        growth_slots=growth_slots,
     )
 
 
-def may_use(spec: Job, pool: PoolState) -> bool:
+def may_run_in(spec: Job, pool: PoolState) -> bool:
     """May the job's tasks run in the pool?"""
-    if not fits_machine_type(spec, pool.kind) or (pool.spot and not spec.may_use_spot):
+    if not fits_machine_type(spec, pool.type_info) or (pool.spot and not spec.may_use_spot):
         return False
-    return not spec.spread_zones or len(pool.kind.zones) >= ZONES_APART
+    return not spec.spread_zones or len(pool.type_info.zones) >= MIN_SPREAD_ZONES
 
 
-def fetch_s(spec: Job, pool: PoolState) -> float:
+def image_fetch_s(spec: Job, pool: PoolState) -> float:
     """Seconds until the job's image is there."""
-    return spec.image_gb / pool.kind.fetch_gb_per_s if pool.kind.fetch_gb_per_s else 0.0
+    return spec.image_gb / pool.type_info.fetch_gb_per_s if pool.type_info.fetch_gb_per_s else 0.0
 
 
-def pool_wait(spec: Job, tasks: int, pool: PoolState) -> float:
+def estimate_wait_s(spec: Job, task_count: int, pool: PoolState) -> float:
     """Expected seconds until so many of the job's tasks start in the pool."""
-    slots = tasks * slots_of_task(spec, pool.kind)
-    lacking = slots + pool.ahead - pool.free
+    slots = task_count * slots_of_task(spec, pool.type_info)
+    lacking = slots + pool.queued_slots - pool.free_slots
     if lacking <= 0:
         # There is room now; the less, the more likely it is gone on arrival.
-        return pool.steady_s * (slots / pool.free if pool.free else 0.0)
-    wait = LONGEST_S
-    if pool.drain > 0:
-        wait = min(LONGEST_S, pool.steady_s + lacking / pool.drain)
-    if lacking <= pool.growth:
-        wait = min(wait, pool.kind.boot_s * BOOT_FACTOR)
+        return pool.steady_wait_s * (slots / pool.free_slots if pool.free_slots else 0.0)
+    wait = MAX_WAIT_S
+    if pool.freed_slots_per_s > 0:
+        wait = min(MAX_WAIT_S, pool.steady_wait_s + lacking / pool.freed_slots_per_s)
+    if lacking <= pool.growth_slots:
+        wait = min(wait, pool.type_info.boot_s * BOOT_TIME_FACTOR)
     return wait
 
 
-class Pools:
+class PoolEstimator:
     """The pools of one cell, filled step by step by what is on its way to them."""
 
     def __init__(self, states: Iterable[PoolState]) -> None:
         self.states = list(states)
 
-    def best(self, spec: Job, tasks: int) -> Expectation | None:
+    def find_shortest_wait(self, spec: Job, task_count: int) -> ExpectedWait | None:
         """The shortest expected wait of the job's tasks, and where; None: no pool may run it."""
-        found: Expectation | None = None
+        found: ExpectedWait | None = None
         for at, pool in enumerate(self.states):
-            if not may_use(spec, pool):
+            if not may_run_in(spec, pool):
                 continue
-            wait = pool_wait(spec, tasks, pool)
-            if found is None or wait < found.wait:
-                found = Expectation(wait, at)
+            wait = estimate_wait_s(spec, task_count, pool)
+            if found is None or wait < found.wait_s:
+                found = ExpectedWait(wait, at)
         return found
 
-    def take(self, at: int, spec: Job, tasks: int) -> None:
+    def add_load(self, pool_index: int, spec: Job, task_count: int) -> None:
         """The job is on its way to this pool."""
-        pool = self.states[at]
-        left = pool.free - tasks * slots_of_task(spec, pool.kind)
-        self.states[at] = pool._replace(free=max(0.0, left), ahead=pool.ahead + max(0.0, -left))
+        pool = self.states[pool_index]
+        left = pool.free_slots - task_count * slots_of_task(spec, pool.type_info)
+        self.states[pool_index] = pool._replace(
+            free_slots=max(0.0, left), queued_slots=pool.queued_slots + max(0.0, -left)
+        )
--- a/coursefold/cells/home.py
+++ b/coursefold/cells/home.py
@@ -10,14 +10,14 @@
 from typing import NamedTuple
 
 from coursefold.cells import edits
-from coursefold.cells.config import SKEW_CLOCKS, CellsConfig, longest_grant
-from coursefold.cells.decisions import DecisionLog, Step
-from coursefold.cells.directory import Directory, OtherCell
-from coursefold.cells.estimate import Pools
+from coursefold.cells.config import SKEWED_CLOCK_COUNT, CellsConfig, max_grant_s
+from coursefold.cells.decisions import DecisionLog, HandoverStep
+from coursefold.cells.directory import CellDirectory, RemoteCell
+from coursefold.cells.estimate import PoolEstimator
 from coursefold.cells.messages import Frame, GuestState, Handle, Offer
-from coursefold.cells.policy import Candidate, Choice, Target, choose
+from coursefold.cells.policy import SpillCandidate, SpillChoice, SpillTarget, choose_moves
 from coursefold.cells.port import CorePort, WaitingJob
-from coursefold.cells.waits import WaitLog
+from coursefold.cells.waits import WaitTracker
 from coursefold.protocol.ids import JobId, MonotonicTime
 from coursefold.settings import CLOCK_DRIFT
 from coursefold.storage import records
@@ -25,21 +25,21 @@
 from coursefold.storage.edits import LOW_PRIORITY
 from coursefold.storage.records import JobRecord
 
-CHOOSE_EVERY_S = 1.0
-PROGRESS_EVERY_S = 0.5  # one job's, a change each
-OFFER_S = 6.0  # without an answer: the job comes back, for nothing was granted
-RENEW_AT = 0.7  # of its span: what is left of a grant when it is renewed
-GRANT_AT = 0.4  # and what must be left of one when a job is granted under it
-FIRST_LOOK_S = 15.0  # a granted job is left alone for so long
-PROOF_MARGIN_S = 5.0  # an answer may be executed 4 s after it was given
-DONE_RANGES = 500  # a job with more is not offered: they would fill the frames
+CHOOSE_INTERVAL_S = 1.0
+PROGRESS_INTERVAL_S = 0.5  # one job's, a change each
+OFFER_TIMEOUT_S = 6.0  # without an answer: the job comes back, for nothing was granted
+RENEW_BELOW_RATIO = 0.7  # of its span: what is left of a grant when it is renewed
+MIN_GRANT_RATIO = 0.4  # and what must be left of one when a job is granted under it
+START_CHECK_DELAY_S = 15.0  # a granted job is left alone for so long
+EXPIRY_MARGIN_S = 5.0  # an answer may be executed 4 s after it was given
+MAX_DONE_RANGES = 500  # a job with more is not offered: they would fill the frames
 
 
 class SeenGrant(NamedTuple):
     """The end of the grants to a cell as recorded, and when this process first saw it."""
 
-    until: float
-    at: MonotonicTime
+    granted_until: float
+    seen_at: MonotonicTime
 
 
 class HomeSide:
@@ -49,59 +49,61 @@
         self,
         config: CellsConfig,
         port: CorePort,
-        directory: Directory,
-        waits: WaitLog,
+        directory: CellDirectory,
+        waits: WaitTracker,
         decisions: DecisionLog,
     ) -> None:
         self.config, self.port, self.directory = config, port, directory
         self.waits, self.decisions = waits, decisions
         self.ctx, self.view = port.ctx, port.view
-        self.seen: dict[str, SeenGrant] = {}
+        self.seen_grants: dict[str, SeenGrant] = {}
         self.chosen_at = MonotonicTime(-1e9)
         self.progress_at = MonotonicTime(-1e9)
         self.counts: Counter[str] = Counter()
 
-    def observe(self) -> None:
+    def observe_grants(self) -> None:
         """Note the grants that the records show; on every controller, for it may lead next."""
         for cell, link in self.view.cell_links.items():
-            known = self.seen.get(cell)
-            if known is None or known.until != link.granted_until:
-                self.seen[cell] = SeenGrant(link.granted_until, self.ctx.now)
+            known = self.seen_grants.get(cell)
+            if known is None or known.granted_until != link.granted_until:
+                self.seen_grants[cell] = SeenGrant(link.granted_until, self.ctx.now)
 
     def tick(self) -> None:
         """One round of the leader."""
         for name, job in list(self.view.delegated_jobs.items()):
             away = job.delegation
             if away is not None:
-                self._follow(name, job, away, Handle(name, away.epoch, away.reservation))
+                self._follow_delegation(name, job, away, Handle(name, away.epoch, away.reservation))
         for cell in self.directory.cells.values():
-            self._renew(cell)
-        if self.ctx.now - self.chosen_at >= CHOOSE_EVERY_S:
+            self._renew_grant(cell)
+        if self.ctx.now - self.chosen_at >= CHOOSE_INTERVAL_S:
             self.chosen_at = self.ctx.now
-            self._offer_more()
+            self._offer_jobs()
 
     # Jobs that are away
 
-    def _follow(self, name: JobId, job: JobRecord, away: Delegation, handle: Handle) -> None:
+    def _follow_delegation(
+        self, name: JobId, job: JobRecord, away: Delegation, handle: Handle
+    ) -> None:
         if away.stage == DelegationStage.OFFERED:
             self._follow_offer(name, away, handle)
             return
-        told = self._told(away, handle)
+        told = self._find_guest_state(away, handle)
         if told is not None and told.stage == GuestStage.FINISHED:
             if self.port.change_job(
-                name, edits.finish(away.guest_cell, handle), f"cell{away.epoch}"
+                name, edits.finish_job(away.guest_cell, handle), f"cell{away.epoch}"
             ):
                 self.counts["finished"] += 1
-                self.decisions.note(Step.FINISH, away.guest_cell, handle)
+                self.decisions.record(HandoverStep.FINISH, away.guest_cell, handle)
         elif told is not None and told.stage == GuestStage.RELEASED:
-            self._take_back(name, away, handle, self._why_back(away), told)
-        elif self._is_proven_gone(away.guest_cell):
-            self._take_back(name, away, handle, "the cell was not heard until its grant was over")
+            self._return_job(name, away, handle, self._return_reason(away), told)
+        elif self._has_grant_expired(away.guest_cell):
+            self._return_job(name, away, handle, "the cell was not heard until its grant was over")
             self.counts["lost"] += 1
-        elif told is not None and told.running and away.stage == DelegationStage.GRANTED:
+        elif told is not None and told.running_count and away.stage == DelegationStage.GRANTED:
             change = edits.mark_running(away.guest_cell, handle, self.ctx.wall_time)
             self.port.change_job(name, change, f"cell{away.epoch}")
-        elif told is not None and told.done and job.status == records.LIVE:
+        elif told is not None and told.done_ranges and job.status == records.LIVE:
             self._note_progress(name, job, away, told)
         elif away.stage == DelegationStage.GRANTED and job.status == records.LIVE:
             self._withdraw_if_stuck(name, job, away, handle)
@@ -110,21 +112,24 @@
         self, name: JobId, job: JobRecord, away: Delegation, told: GuestState
     ) -> None:
         """Write what is done there, one job at a time, when nothing else waits to be written."""
-        if self.ctx.now - self.progress_at < PROGRESS_EVERY_S or not self.port.is_idle():
+        if (
+            self.ctx.now - self.progress_at < PROGRESS_INTERVAL_S
+            or not self.port.has_spare_write_rate()
+        ):
             return
-        if edits.merged(job.done_ranges, told.done) == job.done_ranges:
+        if edits.merge_ranges(job.done_ranges, told.done_ranges) == job.done_ranges:
             return
         self.progress_at = self.ctx.now
-        change = edits.note_progress(away.guest_cell, told.handle, told.done)
+        change = edits.note_progress(away.guest_cell, told.handle, told.done_ranges)
         self.port.change_job(name, change, f"cell{away.epoch}", LOW_PRIORITY)
 
     @staticmethod
-    def _why_back(away: Delegation) -> str:
+    def _return_reason(away: Delegation) -> str:
         if away.stage == DelegationStage.WITHDRAWN:
             return away.why
         return "the cell has released it"
 
-    def _told(self, away: Delegation, handle: Handle) -> GuestState | None:
+    def _find_guest_state(self, away: Delegation, handle: Handle) -> GuestState | None:
         cell = self.directory.cells.get(away.guest_cell)
         frame = cell.frame if cell else None
         if frame is None:
@@ -137,30 +142,30 @@
         if cell is not None and frame is not None:
             for state in frame.guests:
                 if state.handle[:2] == handle[:2] and state.stage == GuestStage.RESERVED:
-                    self._grant(cell, name, state.handle)
+                    self._grant_job(cell, name, state.handle)
                     return
             for refusal in frame.refusals:
                 if refusal.handle[:2] == handle[:2]:
-                    self._take_back(name, away, handle, f"refused: {refusal.why}")
+                    self._return_job(name, away, handle, f"refused: {refusal.reason}")
                     self.counts["refused"] += 1
                     return
-        if self.ctx.wall_time - away.stage_started_at > OFFER_S:
-            self._take_back(name, away, handle, "no answer")
+        if self.ctx.wall_time - away.stage_started_at > OFFER_TIMEOUT_S:
+            self._return_job(name, away, handle, "no answer")
             self.counts["unanswered"] += 1
 
-    def _grant(self, cell: OtherCell, name: JobId, handle: Handle) -> None:
+    def _grant_job(self, cell: RemoteCell, name: JobId, handle: Handle) -> None:
         link = self.view.cell_links.get(cell.name, CellLink())
         left = link.granted_until - self.ctx.wall_time
-        if not self.directory.is_reachable(cell.name) or left < GRANT_AT * link.granted_s:
+        if not self.directory.is_reachable(cell.name) or left < MIN_GRANT_RATIO * link.granted_s:
             return  # the grant is renewed first; or the offer runs out
         if left <= 0:
             return
-        change = edits.grant(cell.name, handle, self.ctx.wall_time)
+        change = edits.grant_job(cell.name, handle, self.ctx.wall_time)
         if self.port.change_job(name, change, f"cell{handle.epoch}"):
             self.counts["granted"] += 1
-            self.decisions.note(Step.GRANT, cell.name, handle)
+            self.decisions.record(HandoverStep.GRANT, cell.name, handle)
 
-    def _take_back(
+    def _return_job(
         self,
         name: JobId,
         away: Delegation,
@@ -168,10 +173,10 @@
         why: str,
         told: GuestState | None = None,
     ) -> None:
-        change = edits.take_back(away.guest_cell, handle, self.ctx.wall_time, why, told)
+        change = edits.return_job(away.guest_cell, handle, self.ctx.wall_time, why, told)
         if self.port.change_job(name, change, f"cell{away.epoch}"):
             self.counts["returned"] += 1
-            self.decisions.note(Step.TAKE_BACK, away.guest_cell, handle, why)
+            self.decisions.record(HandoverStep.TAKE_BACK, away.guest_cell, handle, why)
 
     def _withdraw_if_stuck(
         self, name: JobId, job: JobRecord, away: Delegation, handle: Handle
@@ -181,42 +186,45 @@
         limits = self.config.spill
         if granted_s > limits.start_s:
             why = f"nothing of it ran there in {limits.start_s:.0f} s"
-        elif granted_s > FIRST_LOOK_S and self._expected_there(job, away) > limits.start_s:
+        elif (
+            granted_s > START_CHECK_DELAY_S
+            and self._expected_guest_wait_s(job, away) > limits.start_s
+        ):
             why = "its room there is gone"
         else:
             return
-        change = edits.withdraw(away.guest_cell, handle, self.ctx.wall_time, why)
+        change = edits.withdraw_job(away.guest_cell, handle, self.ctx.wall_time, why)
         if self.port.change_job(name, change, f"cell{away.epoch}"):
-            self.decisions.note(Step.WITHDRAW, away.guest_cell, handle, why)
+            self.decisions.record(HandoverStep.WITHDRAW, away.guest_cell, handle, why)
 
-    def _expected_there(self, job: JobRecord, away: Delegation) -> float:
+    def _expected_guest_wait_s(self, job: JobRecord, away: Delegation) -> float:
         """The wait that the guest cell's pools tell for a job that is in their queue."""
         cell = self.directory.cells.get(away.guest_cell)
         if cell is None or not self.directory.is_reachable(away.guest_cell):
             return 0.0
-        expected = Pools(cell.pools).best(job.spec, 1)
-        return expected.wait if expected else 0.0
+        expected = PoolEstimator(cell.pools).find_shortest_wait(job.spec, 1)
+        return expected.wait_s if expected else 0.0
 
     # Grants
 
-    def _is_proven_gone(self, cell: str) -> bool:
+    def _has_grant_expired(self, cell: str) -> bool:
         """Has every grant that the cell can know of run out, and all that ran under it ended?
 
         Counted by the time of day, and by the steady clock since this process first saw the
         last grant's record, so that a clock that is set forwards takes nothing back early.
         """
         link = self.view.cell_links.get(cell)
-        seen = self.seen.get(cell)
+        seen = self.seen_grants.get(cell)
         if link is None or seen is None or not link.granted_until:
             return True  # never was anything granted
-        skew = SKEW_CLOCKS * self.ctx.settings.params.skew_ms / 1000.0
-        margin = skew + PROOF_MARGIN_S
+        skew = SKEWED_CLOCK_COUNT * self.ctx.settings.params.skew_ms / 1000.0
+        margin = skew + EXPIRY_MARGIN_S
         if self.ctx.wall_time < link.granted_until + link.granted_lease_s + margin:
             return False
         span = (link.granted_s + link.granted_lease_s) * CLOCK_DRIFT + margin
-        return self.ctx.now - seen.at > span
+        return self.ctx.now - seen.seen_at > span
 
-    def _renew(self, cell: OtherCell) -> None:
+    def _renew_grant(self, cell: RemoteCell) -> None:
         """Extend the grant to a cell that hears us and has work of ours.
 
         Not while it has not acknowledged the last extension: a cell that is heard but does
@@ -227,27 +235,29 @@
         if frame is None or not self.directory.is_reachable(cell.name):
             return
         stages = [
-            job.delegation.stage for job in self._jobs_at(cell.name).values() if job.delegation
+            job.delegation.stage
+            for job in self._jobs_delegated_to(cell.name).values()
+            if job.delegation
         ]
         if not stages:
             return
         is_held = any(stage != DelegationStage.OFFERED for stage in stages)
         if is_held and frame.held_until < link.granted_until:
             return
-        span = self._span(frame)
+        span = self._grant_span_s(frame)
         # From the moment up to which our records show every cancellation: what was confirmed
         # after it is younger than the grant.
         base = self.ctx.wall_time - max(0.0, self.ctx.now - self.ctx.watch_ok_at)
-        if span <= 0 or link.granted_until - base > RENEW_AT * span:
+        if span <= 0 or link.granted_until - base > RENEW_BELOW_RATIO * span:
             return
         change = edits.extend_grant(base + span, span, frame.lease_s)
         self.port.change_link(cell.name, change, "granted")
 
-    def _span(self, frame: Frame) -> float:
+    def _grant_span_s(self, frame: Frame) -> float:
         """How long a grant to the cell may be, for cancellations to hold there."""
-        return min(self.config.grant_s, longest_grant(self.ctx.settings, frame.lease_s))
+        return min(self.config.grant_s, max_grant_s(self.ctx.settings, frame.lease_s))
 
-    def _jobs_at(self, cell: str) -> dict[JobId, JobRecord]:
+    def _jobs_delegated_to(self, cell: str) -> dict[JobId, JobRecord]:
         away = self.view.delegated_jobs.items()
         return {
             name: job for name, job in away if job.delegation and job.delegation.guest_cell == cell
@@ -255,21 +265,21 @@
 
     # Offers
 
-    def _offer_more(self) -> None:
-        queue = self.port.queue()
-        for wait in queue.waiting:
+    def _offer_jobs(self) -> None:
+        queue = self.port.read_queue()
+        for wait in queue.waiting_jobs:
             if wait.job.guest is None:
-                self.waits.expect(wait.name, self.ctx.wall_time, wait.expected_s)
-        targets = self._targets()
+                self.waits.record_estimate(wait.name, self.ctx.wall_time, wait.expected_wait_s)
+        targets = self._find_targets()
         if not targets:
             return
-        candidates = self._candidates(queue.waiting, queue.pools)
-        for choice in choose(candidates, targets, self.config.spill, self.port.eta()):
-            self._offer(choice)
+        candidates = self._find_candidates(queue.waiting_jobs, queue.pools)
+        for choice in choose_moves(candidates, targets, self.config.spill, self.port.eta()):
+            self._offer_job(choice)
 
-    def _targets(self) -> dict[str, Target]:
+    def _find_targets(self) -> dict[str, SpillTarget]:
         limits = self.config.spill
-        found: dict[str, Target] = {}
+        found: dict[str, SpillTarget] = {}
         if limits.draining or self._has_guests():
             return found
         for cell in self.directory.cells.values():
@@ -277,13 +287,15 @@
             if frame is None or not self.directory.is_reachable(cell.name) or frame.draining:
                 continue
             stages = [
-                job.delegation.stage for job in self._jobs_at(cell.name).values() if job.delegation
+                job.delegation.stage
+                for job in self._jobs_delegated_to(cell.name).values()
+                if job.delegation
             ]
             open_offers = sum(stage == DelegationStage.OFFERED for stage in stages)
             room = min(limits.offers - open_offers, limits.jobs - len(stages))
-            if room > 0 and self._span(frame) > 0:
-                pools = Pools(cell.pools)
-                found[cell.name] = Target(pools, room)
+            if room > 0 and self._grant_span_s(frame) > 0:
+                pools = PoolEstimator(cell.pools)
+                found[cell.name] = SpillTarget(pools, room)
                 cell.pools = pools.states  # what is offered now counts until the next frame
         return found
 
@@ -296,39 +308,43 @@
         stages = (job.guest.stage for job in self.view.guest_jobs.values() if job.guest)
         return any(stage in (GuestStage.RESERVED, GuestStage.GRANTED) for stage in stages)
 
-    def _candidates(self, waiting: list[WaitingJob], pools: Pools) -> list[Candidate]:
+    def _find_candidates(
+        self, waiting: list[WaitingJob], pools: PoolEstimator
+    ) -> list[SpillCandidate]:
         """Jobs that may go: whole, none of their tasks placed, within their team's limit."""
-        quota = self.port.quota()
-        placed = self.port.about_to_be_placed()
-        found: list[Candidate] = []
+        quota = self.port.new_quota_tracker()
+        placed = self.port.list_jobs_being_placed()
+        found: list[SpillCandidate] = []
         for wait in waiting:
             spec = wait.job.spec
             if (
                 wait.name in placed
-                or not self._may_go(wait)
-                or not quota.fits_limit(spec, wait.tasks)
+                or not self._may_move(wait)
+                or not quota.fits_limit(spec, wait.task_count)
             ):
                 continue
-            quota.add_usage(spec, wait.tasks)
-            best = pools.best(spec, 1)
-            price = pools.states[best.pool].price if best else 0.0
+            quota.add_usage(spec, wait.task_count)
+            best = pools.find_shortest_wait(spec, 1)
+            price = pools.states[best.pool_index].price_per_slot_s if best else 0.0
             due = None
             if spec.deadline_s is not None:
                 due = wait.job.accepted_at + spec.deadline_s - self.ctx.wall_time
-            here_s = wait.expected_s * self.waits.factor
-            run_s, avoid = self.port.run_s(spec), self._avoid(wait.job)
-            found.append(Candidate(wait.name, spec, wait.tasks, here_s, run_s, price, due, avoid))
+            here_s = wait.expected_wait_s * self.waits.correction_factor
+            run_s, avoid = self.port.mean_run_s(spec), self._recently_left_cell(wait.job)
+            found.append(
+                SpillCandidate(wait.name, spec, wait.task_count, here_s, run_s, price, due, avoid)
+            )
         return found
 
-    def _may_go(self, wait: WaitingJob) -> bool:
+    def _may_move(self, wait: WaitingJob) -> bool:
         job = wait.job
         if job.guest is not None or job.entries or job.spec.kind == "standing":
             return False
-        if wait.age < self.config.spill.after_s or len(job.done_ranges) > DONE_RANGES:
+        if wait.age_s < self.config.spill.after_s or len(job.done_ranges) > MAX_DONE_RANGES:
             return False
-        return wait.name in self.view.waiting_jobs and not self.port.is_writing(wait.name)
+        return wait.name in self.view.waiting_jobs and not self.port.has_pending_change(wait.name)
 
-    def _avoid(self, job: JobRecord) -> str:
+    def _recently_left_cell(self, job: JobRecord) -> str:
         """The cell that the job came back from a moment ago."""
         away = job.delegation
         if (
@@ -338,29 +354,34 @@
             return ""
         return away.guest_cell
 
-    def _offer(self, choice: Choice) -> None:
+    def _offer_job(self, choice: SpillChoice) -> None:
         job = self.view.jobs[choice.name]
         epoch = (job.delegation.epoch if job.delegation else 0) + 1
         away = Delegation(
             choice.cell, epoch, DelegationStage.OFFERED, self.ctx.wall_time,
-            expected_home_s=round(choice.here_s, 1), expected_guest_s=round(choice.there_s, 1),
-            why=choice.why,
+            expected_home_s=round(choice.home_wait_s, 1),
+            expected_guest_s=round(choice.remote_wait_s, 1),
+            why=choice.reason,
         )  # fmt: skip
-        change = edits.offer(away, self.view.eligible_at(choice.name, job))
+        change = edits.offer_job(away, self.view.eligible_at(choice.name, job))
         if self.port.change_job(choice.name, change, f"cell{epoch}"):
             self.counts["offered"] += 1
-            waits = f"expected wait here {choice.here_s:.0f} s, there {choice.there_s:.0f} s"
+            waits = (
+                f"expected wait here {choice.home_wait_s:.0f} s, there {choice.remote_wait_s:.0f} s"
+            )
             handle = Handle(choice.name, epoch)
-            self.decisions.note(Step.OFFER, choice.cell, handle, f"{choice.why} ({waits})")
+            self.decisions.record(
+                HandoverStep.OFFER, choice.cell, handle, f"{choice.reason} ({waits})"
+            )
 
     # Frames
 
-    def fill(self, frame: Frame, cell: OtherCell) -> Frame:
+    def add_home_part(self, frame: Frame, cell: RemoteCell) -> Frame:
         """Add what we are to the cell as its guests' home."""
         offers: list[Offer] = []
         grants: list[Handle] = []
         revoked: list[Handle] = []
-        for name, job in self._jobs_at(cell.name).items():
+        for name, job in self._jobs_delegated_to(cell.name).items():
             away = job.delegation
             if away is None:
                 continue
@@ -382,15 +403,15 @@
                 grants.append(handle)
         link = self.view.cell_links.get(cell.name, CellLink())
         return frame._replace(
-            until=link.granted_until,
+            granted_until=link.granted_until,
             grant_s=link.granted_s,
             offers=tuple(offers),
             grants=tuple(grants),
             revoked=tuple(revoked),
-            closed=self._closed(cell),
+            closed=self._closed_handles(cell),
         )
 
-    def _closed(self, cell: OtherCell) -> tuple[Handle, ...]:
+    def _closed_handles(self, cell: RemoteCell) -> tuple[Handle, ...]:
         """Guests that the cell names and that are not ours there, or not any more.
 
         Final: an epoch or a reservation that is over is never used again.
@@ -401,7 +422,7 @@
             state.handle
             for state in cell.frame.guests
             if not self._is_current(cell.name, state.handle)
-            and not self.port.is_unclear(state.handle.job)
+            and not self.port.has_unreadable_record(state.handle.job)
         )
 
     def _is_current(self, cell: str, handle: Handle) -> bool:
--- a/coursefold/cells/messages.py
+++ b/coursefold/cells/messages.py
@@ -16,15 +16,15 @@
 from coursefold.storage.cell_records import GuestStage
 
 VERSION = 1
-MOST_ITEMS = 20_000  # in one list; twice the jobs that a cell may have away
-MOST_EPOCH = 1 << 53
-TEXT = 400  # letters of a reason or a reservation's name
-LONGEST_S = 3600.0
+MAX_LIST_ITEMS = 20_000  # in one list; twice the jobs that a cell may have away
+EPOCH_LIMIT = 1 << 53
+MAX_TEXT_CHARS = 400  # letters of a reason or a reservation's name
+MAX_DURATION_S = 3600.0
 
-Ranges = list[tuple[int, int]]
+TaskRanges = list[tuple[int, int]]
 
 
-class BadFrameError(Exception):
+class InvalidFrameError(Exception):
     """One plain line of why a frame is dropped."""
 
 
@@ -41,10 +41,10 @@
 
     handle: Handle
     spec: Job
-    at: float
+    accepted_at: float
     attempt: int
-    done: Ranges
-    expected_s: float
+    done_ranges: TaskRanges
+    expected_wait_s: float
 
 
 class GuestState(NamedTuple):
@@ -52,8 +52,8 @@
 
     handle: Handle
     stage: GuestStage
-    running: int
-    done: Ranges
+    running_count: int
+    done_ranges: TaskRanges
     attempt: int
 
 
@@ -61,20 +61,20 @@
     """An offer that the guest cell does not take."""
 
     handle: Handle
-    why: str
+    reason: str
 
 
 class PoolState(NamedTuple):
     """A pool of alike machines as its cell's leader sees it, in slots."""
 
-    kind: MachineType
+    type_info: MachineType
     spot: bool
-    price: float  # per slot and second
-    free: float
-    ahead: float
-    drain: float
-    steady_s: float
-    growth: float  # slots of machines that may be rented at once, as far as is known
+    price_per_slot_s: float  # per slot and second
+    free_slots: float
+    queued_slots: float
+    freed_slots_per_s: float
+    steady_wait_s: float
+    growth_slots: float  # slots of machines that may be rented at once, as far as is known
 
 
 class Frame(NamedTuple):
@@ -82,13 +82,13 @@
 
     cell: str
     member: str
-    token: int
-    seq: int
+    fencing_token: int
+    sequence: int
     sent_at: float
     lease_s: float
     cancel_s: float
     draining: bool = False
-    until: float = 0.0
+    granted_until: float = 0.0
     grant_s: float = 0.0
     offers: tuple[Offer, ...] = ()
     grants: tuple[Handle, ...] = ()
@@ -98,172 +98,179 @@
     guests: tuple[GuestState, ...] = ()
     refusals: tuple[Refusal, ...] = ()
     pools: tuple[PoolState, ...] = ()
-    waits: bytes = b""
+    wait_histogram: bytes = b""
 
 
-def _handle(handle: Handle) -> cell_pb2.Handle:
+def _encode_handle(handle: Handle) -> cell_pb2.Handle:
     return cell_pb2.Handle(job=handle.job, epoch=handle.epoch, reservation=handle.reservation)
 
 
-def _ranges(done: Ranges) -> list[cell_pb2.Range]:
+def _encode_ranges(done: TaskRanges) -> list[cell_pb2.Range]:
     return [cell_pb2.Range(low=low, high=high) for low, high in done]
 
 
-def _pool(pool: PoolState) -> cell_pb2.Pool:
-    kind = pool.kind
+def _encode_pool(pool: PoolState) -> cell_pb2.Pool:
+    kind = pool.type_info
     return cell_pb2.Pool(
         build=kind.name, spot=pool.spot, cpus=kind.cpus, gpus=kind.gpus, memory=kind.memory_gb,
-        zones=kind.zones, fetch=kind.fetch_gb_per_s, boot_s=kind.boot_s, price=pool.price,
-        free=pool.free, ahead=pool.ahead, drain=pool.drain, steady_s=pool.steady_s,
-        growth=pool.growth,
+        zones=kind.zones, fetch=kind.fetch_gb_per_s, boot_s=kind.boot_s,
+        price=pool.price_per_slot_s, free=pool.free_slots, ahead=pool.queued_slots,
+        drain=pool.freed_slots_per_s, steady_s=pool.steady_wait_s, growth=pool.growth_slots,
     )  # fmt: skip
 
 
-def dump_frame(frame: Frame) -> bytes:
+def encode_frame(frame: Frame) -> bytes:
     """A frame's bytes."""
     out = cell_pb2.CellFrame(
-        version=VERSION, cell=frame.cell, member=frame.member, token=frame.token, seq=frame.seq,
-        sent_at=frame.sent_at, lease_s=frame.lease_s, cancel_s=frame.cancel_s,
-        draining=frame.draining, until=frame.until, grant_s=frame.grant_s,
-        held_until=frame.held_until, waits=frame.waits,
+        version=VERSION, cell=frame.cell, member=frame.member, token=frame.fencing_token,
+        seq=frame.sequence, sent_at=frame.sent_at, lease_s=frame.lease_s, cancel_s=frame.cancel_s,
+        draining=frame.draining, until=frame.granted_until, grant_s=frame.grant_s,
+        held_until=frame.held_until, waits=frame.wait_histogram,
     )  # fmt: skip
     for offer in frame.offers:
         out.offers.add(
-            handle=_handle(offer.handle), spec=encode(offer.spec), at=offer.at,
-            attempt=offer.attempt, done=_ranges(offer.done), expected_s=offer.expected_s,
+            handle=_encode_handle(offer.handle), spec=encode(offer.spec), at=offer.accepted_at,
+            attempt=offer.attempt, done=_encode_ranges(offer.done_ranges),
+            expected_s=offer.expected_wait_s,
         )  # fmt: skip
-    out.grants.extend(map(_handle, frame.grants))
-    out.revoked.extend(map(_handle, frame.revoked))
-    out.closed.extend(map(_handle, frame.closed))
+    out.grants.extend(map(_encode_handle, frame.grants))
+    out.revoked.extend(map(_encode_handle, frame.revoked))
+    out.closed.extend(map(_encode_handle, frame.closed))
     for guest in frame.guests:
         out.guests.add(
-            handle=_handle(guest.handle), stage=guest.stage, running=guest.running,
-            done=_ranges(guest.done), attempt=guest.attempt,
+            handle=_encode_handle(guest.handle), stage=guest.stage, running=guest.running_count,
+            done=_encode_ranges(guest.done_ranges), attempt=guest.attempt,
         )  # fmt: skip
     for refusal in frame.refusals:
-        out.refusals.add(handle=_handle(refusal.handle), why=refusal.why)
-    out.pools.extend(map(_pool, frame.pools))
+        out.refusals.add(handle=_encode_handle(refusal.handle), why=refusal.reason)
+    out.pools.extend(map(_encode_pool, frame.pools))
     return out.SerializeToString()
 
 
-def _number(value: float, name: str, most: float = 1e12) -> float:
-    if not math.isfinite(value) or not 0.0 <= value <= most:
-        raise BadFrameError(f"{name} is {value}")
+def _check_number(value: float, name: str, maximum: float = 1e12) -> float:
+    if not math.isfinite(value) or not 0.0 <= value <= maximum:
+        raise InvalidFrameError(f"{name} is {value}")
     return value
 
 
-def _read_handle(item: cell_pb2.Handle) -> Handle:
+def _decode_handle(item: cell_pb2.Handle) -> Handle:
     if not is_job_id(item.job):
-        raise BadFrameError(f"{item.job[:40]!r} is no job")
-    if not 0 < item.epoch < MOST_EPOCH:
-        raise BadFrameError(f"epoch {item.epoch} of {item.job}")
-    if len(item.reservation) > TEXT:
-        raise BadFrameError(f"the reservation of {item.job} has {len(item.reservation)} letters")
+        raise InvalidFrameError(f"{item.job[:40]!r} is no job")
+    if not 0 < item.epoch < EPOCH_LIMIT:
+        raise InvalidFrameError(f"epoch {item.epoch} of {item.job}")
+    if len(item.reservation) > MAX_TEXT_CHARS:
+        raise InvalidFrameError(
+            f"the reservation of {item.job} has {len(item.reservation)} letters"
+        )
     return Handle(JobId(item.job), item.epoch, item.reservation)
 
 
-def _read_named(item: cell_pb2.Handle) -> Handle:
+def _decode_reserved_handle(item: cell_pb2.Handle) -> Handle:
     """A handle that must have a reservation."""
-    handle = _read_handle(item)
+    handle = _decode_handle(item)
     if not handle.reservation:
-        raise BadFrameError(f"{handle.job} has no reservation")
+        raise InvalidFrameError(f"{handle.job} has no reservation")
     return handle
 
 
-def _read_ranges(items: "list[cell_pb2.Range]", job: JobId, tasks: int) -> Ranges:
+def _decode_ranges(items: "list[cell_pb2.Range]", job: JobId, tasks: int) -> TaskRanges:
     """Ranges in order and apart, within the job's tasks."""
-    found: Ranges = []
+    found: TaskRanges = []
     after = -1
     for item in items:
         if not after < item.low <= item.high < tasks:
-            raise BadFrameError(f"done tasks of {job} from {item.low} to {item.high}")
+            raise InvalidFrameError(f"done tasks of {job} from {item.low} to {item.high}")
         found.append((item.low, item.high))
         after = item.high + 1
     return found
 
 
-MOST_TASKS = 100_000  # by the protocol
+MAX_TASK_COUNT = 100_000  # by the protocol
 
 
-def _read_offer(item: cell_pb2.Offer) -> Offer:
-    handle = _read_handle(item.handle)
+def _decode_offer(item: cell_pb2.Offer) -> Offer:
+    handle = _decode_handle(item.handle)
     try:
         spec = decode_job(item.spec)
     except MalformedError as wrong:
-        raise BadFrameError(f"description of {handle.job}: {wrong}") from None
+        raise InvalidFrameError(f"description of {handle.job}: {wrong}") from None
     if spec.name != handle.job or spec.kind == "standing":
-        raise BadFrameError(f"{handle.job} is offered with the description of {spec.name}")
+        raise InvalidFrameError(f"{handle.job} is offered with the description of {spec.name}")
     return Offer(
         handle,
         msgspec.structs.replace(spec, prerequisites=None),
-        _number(item.at, "at"),
+        _check_number(item.at, "at"),
         item.attempt,
-        _read_ranges(list(item.done), handle.job, spec.task_count),
-        _number(item.expected_s, "expected_s"),
+        _decode_ranges(list(item.done), handle.job, spec.task_count),
+        _check_number(item.expected_s, "expected_s"),
     )
 
 
-def _read_guest(item: cell_pb2.GuestState) -> GuestState:
-    handle = _read_named(item.handle)
+def _decode_guest_state(item: cell_pb2.GuestState) -> GuestState:
+    handle = _decode_reserved_handle(item.handle)
     try:
         stage = GuestStage(item.stage)
     except ValueError:
-        raise BadFrameError(f"stage {item.stage} of {handle.job}") from None
-    done = _read_ranges(list(item.done), handle.job, MOST_TASKS)
+        raise InvalidFrameError(f"stage {item.stage} of {handle.job}") from None
+    done = _decode_ranges(list(item.done), handle.job, MAX_TASK_COUNT)
     return GuestState(handle, stage, item.running, done, item.attempt)
 
 
-def _read_pool(item: cell_pb2.Pool) -> PoolState:
+def _decode_pool(item: cell_pb2.Pool) -> PoolState:
     if not item.build or not item.zones:
-        raise BadFrameError("a pool without a type or zones")
+        raise InvalidFrameError("a pool without a type or zones")
     kind = MachineType(
-        name=item.build, cpus=_number(item.cpus, "cpus"), gpus=_number(item.gpus, "gpus"),
-        memory_gb=_number(item.memory, "memory"), cache_gb=0.0,
-        fetch_gb_per_s=_number(item.fetch, "fetch"), price_per_hour=0.0, spot_price_per_hour=0.0,
-        boot_s=_number(item.boot_s, "boot_s", LONGEST_S),
+        name=item.build, cpus=_check_number(item.cpus, "cpus"),
+        gpus=_check_number(item.gpus, "gpus"),
+        memory_gb=_check_number(item.memory, "memory"), cache_gb=0.0,
+        fetch_gb_per_s=_check_number(item.fetch, "fetch"), price_per_hour=0.0,
+        spot_price_per_hour=0.0,
+        boot_s=_check_number(item.boot_s, "boot_s", MAX_DURATION_S),
         zones=list(item.zones),
     )  # fmt: skip
     return PoolState(
         kind,
         item.spot,
-        _number(item.price, "price"),
-        _number(item.free, "free"),
-        _number(item.ahead, "ahead"),
-        _number(item.drain, "drain"),
-        _number(item.steady_s, "steady_s"),
-        _number(item.growth, "growth"),
+        _check_number(item.price, "price"),
+        _check_number(item.free, "free"),
+        _check_number(item.ahead, "ahead"),
+        _check_number(item.drain, "drain"),
+        _check_number(item.steady_s, "steady_s"),
+        _check_number(item.growth, "growth"),
     )
 
 
-def read_frame(raw: bytes) -> Frame:
+def decode_frame(raw: bytes) -> Frame:
     """A frame, or BadFrameError for what no cell of ours sends."""
     try:
         body = cell_pb2.CellFrame.FromString(raw)
     except DecodeError:
-        raise BadFrameError(f"{len(raw)} bytes are not readable") from None
+        raise InvalidFrameError(f"{len(raw)} bytes are not readable") from None
     if body.version != VERSION:
-        raise BadFrameError(f"version {body.version}")
+        raise InvalidFrameError(f"version {body.version}")
     lists = (body.offers, body.grants, body.revoked, body.closed, body.guests, body.refusals)
-    if any(len(items) > MOST_ITEMS for items in lists):
-        raise BadFrameError("a list is too long")
+    if any(len(items) > MAX_LIST_ITEMS for items in lists):
+        raise InvalidFrameError("a list is too long")
     return Frame(
         cell=body.cell,
         member=body.member,
-        token=body.token,
-        seq=body.seq,
-        sent_at=_number(body.sent_at, "sent_at"),
-        lease_s=_number(body.lease_s, "lease_s", LONGEST_S),
-        cancel_s=_number(body.cancel_s, "cancel_s", LONGEST_S),
+        fencing_token=body.token,
+        sequence=body.seq,
+        sent_at=_check_number(body.sent_at, "sent_at"),
+        lease_s=_check_number(body.lease_s, "lease_s", MAX_DURATION_S),
+        cancel_s=_check_number(body.cancel_s, "cancel_s", MAX_DURATION_S),
         draining=body.draining,
-        until=_number(body.until, "until"),
-        grant_s=_number(body.grant_s, "grant_s", LONGEST_S),
-        offers=tuple(map(_read_offer, body.offers)),
-        grants=tuple(map(_read_named, body.grants)),
-        revoked=tuple(map(_read_named, body.revoked)),
-        closed=tuple(map(_read_named, body.closed)),
-        held_until=_number(body.held_until, "held_until"),
-        guests=tuple(map(_read_guest, body.guests)),
-        refusals=tuple(Refusal(_read_handle(r.handle), r.why[:TEXT]) for r in body.refusals),
-        pools=tuple(map(_read_pool, body.pools)),
-        waits=body.waits,
+        granted_until=_check_number(body.until, "until"),
+        grant_s=_check_number(body.grant_s, "grant_s", MAX_DURATION_S),
+        offers=tuple(map(_decode_offer, body.offers)),
+        grants=tuple(map(_decode_reserved_handle, body.grants)),
+        revoked=tuple(map(_decode_reserved_handle, body.revoked)),
+        closed=tuple(map(_decode_reserved_handle, body.closed)),
+        held_until=_check_number(body.held_until, "held_until"),
+        guests=tuple(map(_decode_guest_state, body.guests)),
+        refusals=tuple(
+            Refusal(_decode_handle(r.handle), r.why[:MAX_TEXT_CHARS]) for r in body.refusals
+        ),
+        pools=tuple(map(_decode_pool, body.pools)),
+        wait_histogram=body.waits,
     )
--- a/coursefold/cells/policy.py
+++ b/coursefold/cells/policy.py
@@ -10,97 +10,109 @@
 from typing import NamedTuple
 
 from coursefold.cells.config import SpillLimits
-from coursefold.cells.estimate import Expectation, Pools, fetch_s
+from coursefold.cells.estimate import ExpectedWait, PoolEstimator, image_fetch_s
 from coursefold.coordination.demand import slots_of_task
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 
-HANDOVER_S = 3.0  # offer, reservation and grant: a commit and a frame each
-LOOKED_AT = 200  # jobs in one round, those with the longest waits
+HANDOVER_DELAY_S = 3.0  # offer, reservation and grant: a commit and a frame each
+MAX_CANDIDATES = 200  # jobs in one round, those with the longest waits
 
 
-class Candidate(NamedTuple):
+class SpillCandidate(NamedTuple):
     """A job that may be moved."""
 
     name: JobId
     spec: Job
-    tasks: int
-    here_s: float
+    task_count: int
+    home_wait_s: float
     run_s: float
-    price: float  # of a slot here, per second
-    due_in_s: float | None
-    avoid: str = ""  # a cell that it came back from a moment ago
+    price_per_slot_s: float  # of a slot here, per second
+    deadline_in_s: float | None
+    excluded_cell: str = ""  # a cell that it came back from a moment ago
 
 
-class Choice(NamedTuple):
+class SpillChoice(NamedTuple):
     """A job, the cell it is offered to, and both expected waits."""
 
     name: JobId
     cell: str
-    here_s: float
-    there_s: float
-    why: str
+    home_wait_s: float
+    remote_wait_s: float
+    reason: str
 
 
-class Target(NamedTuple):
+class SpillTarget(NamedTuple):
     """A cell that may be offered work."""
 
-    pools: Pools
-    room: int  # offers that it may still be made
+    pools: PoolEstimator
+    max_offers: int  # offers that it may still be made
 
 
-def cost_s(candidate: Candidate, pools: Pools, at: int, eta: float) -> float:
+def move_cost_s(
+    candidate: SpillCandidate, pools: PoolEstimator, pool_index: int, eta: float
+) -> float:
     """What moving costs, in seconds of wait."""
-    pool = pools.states[at]
-    dearer = max(0.0, pool.price - candidate.price)
-    slot_seconds = candidate.run_s * slots_of_task(candidate.spec, pool.kind)
-    return HANDOVER_S + fetch_s(candidate.spec, pool) + (1 - eta) / eta * dearer * slot_seconds
-
-
-def _gain(candidate: Candidate, target: Target, eta: float) -> tuple[float, Expectation] | None:
-    found = target.pools.best(candidate.spec, candidate.tasks)
+    pool = pools.states[pool_index]
+    dearer = max(0.0, pool.price_per_slot_s - candidate.price_per_slot_s)
+    slot_seconds = candidate.run_s * slots_of_task(candidate.spec, pool.type_info)
+    return (
+        HANDOVER_DELAY_S
+        + image_fetch_s(candidate.spec, pool)
+        + (1 - eta) / eta * dearer * slot_seconds
+    )
+
+
+def _compute_gain(
+    candidate: SpillCandidate, target: SpillTarget, eta: float
+) -> tuple[float, ExpectedWait] | None:
+    found = target.pools.find_shortest_wait(candidate.spec, candidate.task_count)
     if found is None:
         return None
-    cost = cost_s(candidate, target.pools, found.pool, eta)
-    return candidate.here_s - found.wait - cost, found
+    cost = move_cost_s(candidate, target.pools, found.pool_index, eta)
+    return candidate.home_wait_s - found.wait_s - cost, found
 
 
-def _why(candidate: Candidate, gain: float, there_s: float, limits: SpillLimits) -> str:
+def _find_spill_reason(
+    candidate: SpillCandidate, gain_s: float, remote_wait_s: float, limits: SpillLimits
+) -> str:
     """Why the job is moved; empty if it is not."""
-    if gain > limits.min_gain_s:
-        return f"saves {gain:.0f} s"
-    due = candidate.due_in_s
-    if due is None or gain <= 0:
+    if gain_s > limits.min_gain_s:
+        return f"saves {gain_s:.0f} s"
+    due = candidate.deadline_in_s
+    if due is None or gain_s <= 0:
         return ""
-    late_here = candidate.here_s + candidate.run_s > due
-    late_there = there_s + HANDOVER_S + candidate.run_s > due
+    late_here = candidate.home_wait_s + candidate.run_s > due
+    late_there = remote_wait_s + HANDOVER_DELAY_S + candidate.run_s > due
     return "its deadline would be missed here" if late_here and not late_there else ""
 
 
-def choose(
-    candidates: Iterable[Candidate],
-    targets: Mapping[str, Target],
+def choose_moves(
+    candidates: Iterable[SpillCandidate],
+    targets: Mapping[str, SpillTarget],
     limits: SpillLimits,
     eta: float,
-) -> list[Choice]:
+) -> list[SpillChoice]:
     """Which jobs to offer now, the longest waits first; each fills its target's pools."""
-    room = {name: target.room for name, target in targets.items()}
-    longest = sorted(candidates, key=lambda c: (-c.here_s, c.name))[:LOOKED_AT]
-    found: list[Choice] = []
+    room = {name: target.max_offers for name, target in targets.items()}
+    longest = sorted(candidates, key=lambda c: (-c.home_wait_s, c.name))[:MAX_CANDIDATES]
+    found: list[SpillChoice] = []
     for candidate in longest:
-        best: tuple[float, str, Expectation] | None = None
+        best: tuple[float, str, ExpectedWait] | None = None
         for cell, target in targets.items():
-            if room[cell] <= 0 or cell == candidate.avoid:
+            if room[cell] <= 0 or cell == candidate.excluded_cell:
                 continue
-            gain = _gain(candidate, target, eta)
+            gain = _compute_gain(candidate, target, eta)
             if gain is not None and (best is None or gain[0] > best[0]):
                 best = (gain[0], cell, gain[1])
         if best is None:
             continue
         gained, cell, there = best
-        why = _why(candidate, gained, there.wait, limits)
+        why = _find_spill_reason(candidate, gained, there.wait_s, limits)
         if why:
-            targets[cell].pools.take(there.pool, candidate.spec, candidate.tasks)
+            targets[cell].pools.add_load(there.pool_index, candidate.spec, candidate.task_count)
             room[cell] -= 1
-            found.append(Choice(candidate.name, cell, candidate.here_s, there.wait, why))
+            found.append(
+                SpillChoice(candidate.name, cell, candidate.home_wait_s, there.wait_s, why)
+            )
     return found
--- a/coursefold/cli.py
+++ b/coursefold/cli.py
@@ -102,7 +102,7 @@
 def check_cells(cells: Path, config: Path) -> None:
     """Check a file of cells against a controller's settings; exit code 2 names the first fault."""
     checked = _cells(cells, _settings(config))
-    names = ", ".join(entry.name for entry in checked.others) or "none"
+    names = ", ".join(entry.name for entry in checked.other_cells) or "none"
     click.echo(f"{cells}: ok, cell {checked.cell}, others: {names}")
     click.echo(f"  grants of {checked.grant_s:g} s")
 
--- a/coursefold/service.py
+++ b/coursefold/service.py
@@ -155,7 +155,7 @@
 
         def handle_frame(frame: bytes, address: str) -> bool:
             self._enter_core()
-            keep_connection = cells.take(frame, address)
+            keep_connection = cells.receive_frame(frame, address)
             self._request_tick()
             return keep_connection
 
--- a/coursefold/transport/cells.py
+++ b/coursefold/transport/cells.py
@@ -23,8 +23,8 @@
 
     def __init__(self, config: CellsConfig, cells: Cells, handle_frame: FrameHandler) -> None:
         # The listener, and one connection each way for every controller of another cell.
-        self.max_sockets = 1 + 2 * sum(len(entry.controllers) for entry in config.others)
-        self.server = PeerServer(config.listen, handle_frame, config.allows_any)
+        self.max_sockets = 1 + 2 * sum(len(entry.controllers) for entry in config.other_cells)
+        self.server = PeerServer(config.listen, handle_frame, config.is_other_cell_address)
         # The receiver identifies a cell by the network that a connection comes from, so
         # connections leave from the address that this controller listens at.
         source, _ = split_address(config.listen)
@@ -33,11 +33,11 @@
                 member,
                 address,
                 _log_connection,
-                lambda member, cell=entry.name: cells.frame(cell, member),  # type: ignore[misc]
+                lambda member, cell=entry.name: cells.build_frame(cell, member),  # type: ignore[misc]
                 FRAME_INTERVAL_S,
                 source,
             )
-            for entry in config.others
+            for entry in config.other_cells
             for member, address in entry.controllers.items()
         ]
 
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -62,7 +62,7 @@
     def _send(self, node: Node, part: Cells, other: str) -> None:
         for number in range(NODES):
             node.enter()
-            frame = part.frame(other, f"n{number}")
+            frame = part.build_frame(other, f"n{number}")
             if frame and not self.vanished:
                 self.cells.deliver(self.name, other, number, frame)
 
@@ -75,7 +75,7 @@
         if node.stands(lambda: self.arrives(number, frame, address)):
             return
         node.enter()
-        part.take(frame, address)
+        part.receive_frame(frame, address)
 
     def vanish(self) -> None:
         """Controllers, machines and state service are gone for good."""
--- a/tests/test_cells_input.py
+++ b/tests/test_cells_input.py
@@ -12,22 +12,22 @@
 
 from coursefold.cells import edits
 from coursefold.cells.cells import Cells
-from coursefold.cells.config import CellsConfig, load_cells, longest_grant
-from coursefold.cells.directory import Directory
-from coursefold.cells.estimate import Pools, pool_wait
+from coursefold.cells.config import CellsConfig, load_cells, max_grant_s
+from coursefold.cells.directory import CellDirectory
+from coursefold.cells.estimate import PoolEstimator, estimate_wait_s
 from coursefold.cells.messages import (
-    BadFrameError,
     Frame,
     GuestState,
     Handle,
+    InvalidFrameError,
     Offer,
     PoolState,
     Refusal,
-    dump_frame,
-    read_frame,
+    decode_frame,
+    encode_frame,
 )
-from coursefold.cells.policy import Candidate, Target, choose, cost_s
-from coursefold.cells.waits import LEAST_SAMPLES, WaitLog
+from coursefold.cells.policy import SpillCandidate, SpillTarget, choose_moves, move_cost_s
+from coursefold.cells.waits import MIN_SAMPLES, WaitTracker
 from coursefold.cli import main
 from coursefold.coordination import jobs
 from coursefold.coordination.grants import GrantExpiry
@@ -92,14 +92,14 @@
     file = tmp_path / "cells.toml"
     file.write_text(FILE)
     config = load_cells(file, settings)
-    assert [entry.name for entry in config.others] == ["dublin"]
+    assert [entry.name for entry in config.other_cells] == ["dublin"]
     assert config.listen == "10.1.0.1:7000"
-    assert config.allows("dublin", "10.2.3.4")
-    assert config.allows("dublin", "2001:db8::7")
-    assert not config.allows("dublin", "10.1.0.1")
-    assert not config.allows("galway", "10.1.0.1")  # ourselves
-    assert config.allows_any("10.2.3.4")
-    assert not config.allows_any("10.3.0.1")
+    assert config.is_allowed_address("dublin", "10.2.3.4")
+    assert config.is_allowed_address("dublin", "2001:db8::7")
+    assert not config.is_allowed_address("dublin", "10.1.0.1")
+    assert not config.is_allowed_address("galway", "10.1.0.1")  # ourselves
+    assert config.is_other_cell_address("10.2.3.4")
+    assert not config.is_other_cell_address("10.3.0.1")
 
 
 @pytest.mark.parametrize(
@@ -147,7 +147,7 @@
     params = msgspec.structs.replace(good.params, skew_ms=20_000.0)
     with pytest.raises(SettingsError, match="cancel_s: too short for any grant"):
         load_cells(file, msgspec.structs.replace(good, params=params))
-    assert longest_grant(good, lease_s=39.5) < 0
+    assert max_grant_s(good, lease_s=39.5) < 0
 
 
 # Frames
@@ -165,13 +165,13 @@
 
 
 def test_a_frame_is_read_as_it_was_written() -> None:
-    read = read_frame(dump_frame(full_frame()))
+    read = decode_frame(encode_frame(full_frame()))
     kept = msgspec.structs.replace(KIND, price_per_hour=0.0, spot_price_per_hour=0.0, cache_gb=0.0)
     assert read == full_frame()._replace(pools=(pool(kind=kept),))
 
 
 def broken(change: Any) -> bytes:
-    body = cell_pb2.CellFrame.FromString(dump_frame(full_frame()))
+    body = cell_pb2.CellFrame.FromString(encode_frame(full_frame()))
     change(body)
     return bytes(body.SerializeToString())
 
@@ -216,24 +216,24 @@
 
 @pytest.mark.parametrize(("path", "value"), BAD)
 def test_what_no_cell_would_say_is_dropped_whole(path: str, value: Any) -> None:
-    with pytest.raises(BadFrameError):
-        read_frame(broken(setter(path, value)))
+    with pytest.raises(InvalidFrameError):
+        decode_frame(broken(setter(path, value)))
 
 
-@pytest.mark.parametrize("raw", [b"", b"\xff" * 50, dump_frame(full_frame())[:-3]])
+@pytest.mark.parametrize("raw", [b"", b"\xff" * 50, encode_frame(full_frame())[:-3]])
 def test_truncated_and_unreadable_frames_are_dropped(raw: bytes) -> None:
-    with pytest.raises(BadFrameError):
-        read_frame(raw)
+    with pytest.raises(InvalidFrameError):
+        decode_frame(raw)
 
 
 def config(cell: str = "north") -> CellsConfig:
     return CellsConfig(cells_file(cell), msgspec.convert(SETTINGS, Settings))
 
 
-def directory() -> Directory:
+def directory() -> CellDirectory:
     world = World()
     world.enter()
-    found = Directory(config(), world.core.ctx)
+    found = CellDirectory(config(), world.core.ctx)
     world.core.ctx.wall_time = WallTime(EPOCH)
     return found
 
@@ -254,7 +254,7 @@
     fields: dict[str, Any], address: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     found = directory()
-    assert found.take(dump_frame(frame(**fields)), address) is None
+    assert found.receive_frame(encode_frame(frame(**fields)), address) is None
     assert all(cell.frame is None for cell in found.cells.values())
     assert len([r for r in caplog.records if r.levelname == "ERROR"]) == 1
 
@@ -262,18 +262,18 @@
 def test_late_and_repeated_frames_are_known_by_their_numbers() -> None:
     found = directory()
     for token, seq, taken in ((5, 7, True), (5, 7, False), (5, 6, False), (4, 99, False)):
-        raw = dump_frame(frame(token=token, seq=seq))
-        assert (found.take(raw, "127.0.1.1") is not None) is taken
-    assert found.take(dump_frame(frame(token=6, seq=1)), "127.0.1.1") is not None
+        raw = encode_frame(frame(token=token, seq=seq))
+        assert (found.receive_frame(raw, "127.0.1.1") is not None) is taken
+    assert found.receive_frame(encode_frame(frame(token=6, seq=1)), "127.0.1.1") is not None
 
 
 def test_frames_go_to_the_leader_and_to_all_while_none_is_known() -> None:
     found = directory()
-    assert all(found.speaks_to("east", member) for member in ("n0", "n1", "n2"))
-    found.take(dump_frame(frame(member="n1")), "127.0.1.1")
-    assert [found.speaks_to("east", m) for m in ("n0", "n1", "n2")] == [False, True, False]
+    assert all(found.is_recipient("east", member) for member in ("n0", "n1", "n2"))
+    found.receive_frame(encode_frame(frame(member="n1")), "127.0.1.1")
+    assert [found.is_recipient("east", m) for m in ("n0", "n1", "n2")] == [False, True, False]
     found.ctx.now = MonotonicTime(found.ctx.now + 2.5)
-    assert all(found.speaks_to("east", member) for member in ("n0", "n1", "n2"))
+    assert all(found.is_recipient("east", member) for member in ("n0", "n1", "n2"))
 
 
 async def send_from(source: str, address: str, raw: bytes) -> bool:
@@ -336,42 +336,42 @@
 def test_a_word_under_another_epoch_or_reservation_changes_nothing(handle: Handle) -> None:
     told = GuestState(handle, GuestStage.RELEASED, 0, [], 0)
     for change in (
-        edits.take_back("north", handle, EPOCH, "", told),
-        edits.finish("north", handle),
+        edits.return_job("north", handle, EPOCH, "", told),
+        edits.finish_job("north", handle),
         edits.mark_running("north", handle, EPOCH),
     ):
         with pytest.raises(NotApplicableError):
             change(away_job(DelegationStage.GRANTED))
     for change in (
         edits.accept_grant("east", handle, EPOCH),
-        edits.revoke("east", handle),
-        edits.forget("east", handle),
+        edits.revoke_job("east", handle),
+        edits.delete_guest("east", handle),
     ):
         with pytest.raises(NotApplicableError):
             change(guest_job(GuestStage.RESERVED))
 
 
 def test_an_epoch_only_rises_and_a_job_is_offered_once_at_a_time() -> None:
-    first = edits.offer(Delegation("north", 1, DelegationStage.OFFERED, EPOCH), 0.0)
+    first = edits.offer_job(Delegation("north", 1, DelegationStage.OFFERED, EPOCH), 0.0)
     record = first(JobRecord(spec(), EPOCH))
     assert isinstance(record, JobRecord)
     assert record.is_delegated
     for epoch in (1, 2):
         with pytest.raises(NotApplicableError):
-            edits.offer(Delegation("west", epoch, DelegationStage.OFFERED, EPOCH), 0.0)(record)
-    back = edits.take_back("north", Handle(NAME, 1), EPOCH, "no answer")(record)
+            edits.offer_job(Delegation("west", epoch, DelegationStage.OFFERED, EPOCH), 0.0)(record)
+    back = edits.return_job("north", Handle(NAME, 1), EPOCH, "no answer")(record)
     assert isinstance(back, JobRecord)
     with pytest.raises(NotApplicableError):
-        edits.offer(Delegation("west", 1, DelegationStage.OFFERED, EPOCH), 0.0)(back)
-    again = edits.offer(Delegation("west", 2, DelegationStage.OFFERED, EPOCH), 0.0)(back)
+        edits.offer_job(Delegation("west", 1, DelegationStage.OFFERED, EPOCH), 0.0)(back)
+    again = edits.offer_job(Delegation("west", 2, DelegationStage.OFFERED, EPOCH), 0.0)(back)
     assert isinstance(again, JobRecord)
     # A grant that the first cell's reservation asked for comes too late.
     with pytest.raises(NotApplicableError):
-        edits.grant("north", HANDLE, EPOCH)(again)
+        edits.grant_job("north", HANDLE, EPOCH)(again)
 
 
 def test_a_job_with_a_task_or_a_guest_is_not_offered() -> None:
-    change = edits.offer(Delegation("north", 1, DelegationStage.OFFERED, EPOCH), 0.0)
+    change = edits.offer_job(Delegation("north", 1, DelegationStage.OFFERED, EPOCH), 0.0)
     placed = JobRecord(
         spec(), EPOCH, entries=[TaskEntry(0, records.PLACED, 1, "n0", "a", "i-1", 1)]
     )
@@ -382,14 +382,14 @@
 
 def test_what_was_done_elsewhere_is_done() -> None:
     told = GuestState(HANDLE, GuestStage.RELEASED, 0, [(1, 2)], 7)
-    change = edits.take_back("north", HANDLE, EPOCH, "released", told)
+    change = edits.return_job("north", HANDLE, EPOCH, "released", told)
     back = change(away_job(DelegationStage.RUNNING, done_ranges=[(0, 0)]))
     assert isinstance(back, JobRecord)
     assert back.done_ranges == [(0, 2)]
     assert back.attempt == 7
     assert back.quota_task_count == 0
     whole = GuestState(HANDLE, GuestStage.RELEASED, 0, [(0, 3)], 7)
-    ended = edits.take_back("north", HANDLE, EPOCH, "", whole)(away_job(DelegationStage.RUNNING))
+    ended = edits.return_job("north", HANDLE, EPOCH, "", whole)(away_job(DelegationStage.RUNNING))
     assert ended == Ending(records.DONE, 4)
 
 
@@ -399,7 +399,7 @@
     assert isinstance(noted, JobRecord)
     assert noted.is_delegated
     assert noted.quota_task_count == 2
-    back = edits.take_back("north", HANDLE, EPOCH, "lost")(noted)
+    back = edits.return_job("north", HANDLE, EPOCH, "lost")(noted)
     assert isinstance(back, JobRecord)
     assert back.waiting_indices(9) == [2, 3]
     for done in ([(0, 1)], [(3, 4)]):  # nothing new; no such task
@@ -413,37 +413,37 @@
     granted = jobs.cancel()(away_job(DelegationStage.GRANTED))
     assert isinstance(granted, JobRecord)
     assert granted.status == records.CANCELLED
-    ended = edits.take_back("north", HANDLE, EPOCH, "lost")(granted)
+    ended = edits.return_job("north", HANDLE, EPOCH, "lost")(granted)
     assert ended == Ending(records.CANCELLED, 4)
-    assert edits.finish("north", HANDLE)(granted) == Ending(records.CANCELLED, 4)
+    assert edits.finish_job("north", HANDLE)(granted) == Ending(records.CANCELLED, 4)
 
 
 def test_a_guest_with_tasks_is_not_forgotten() -> None:
     entries = [TaskEntry(0, records.PLACED, 1, "n0", "a", "i-1", 1)]
     stopping = guest_job(GuestStage.GRANTED, entries=entries)
     with pytest.raises(NotApplicableError):
-        edits.forget("east", HANDLE)(stopping)
-    revoked = edits.revoke("east", HANDLE)(stopping)
+        edits.delete_guest("east", HANDLE)(stopping)
+    revoked = edits.revoke_job("east", HANDLE)(stopping)
     assert isinstance(revoked, JobRecord)
     assert revoked.guest is not None
     assert revoked.guest.stage == GuestStage.GRANTED  # until its task is proven gone
-    released = edits.revoke("east", HANDLE)(guest_job(GuestStage.RESERVED))
+    released = edits.revoke_job("east", HANDLE)(guest_job(GuestStage.RESERVED))
     assert isinstance(released, JobRecord)
     assert released.guest is not None
     assert released.guest.stage == GuestStage.RELEASED
-    assert edits.forget("east", HANDLE)(released) == DeleteKey()
+    assert edits.delete_guest("east", HANDLE)(released) == DeleteKey()
 
 
 def test_an_id_that_is_taken_is_not_reserved() -> None:
     offer = full_frame().offers[0]
     for record in (JobRecord(spec(), EPOCH), Ending(records.DONE, 1)):
         with pytest.raises(NotApplicableError):
-            edits.reserve("east", offer, "9-2", EPOCH)(record)
+            edits.reserve_job("east", offer, "9-2", EPOCH)(record)
 
 
 def test_grants_never_get_shorter() -> None:
     link = CellLink(granted_until=50.0, held_until=60.0)
-    for change in (edits.extend_grant(49.0, 12.0, 10.0), edits.hold_grant(60.0, 12.0)):
+    for change in (edits.extend_grant(49.0, 12.0, 10.0), edits.record_held_grant(60.0, 12.0)):
         with pytest.raises(NotApplicableError):
             change(link)
     longer = edits.extend_grant(55.0, 12.0, 10.0)(link)
@@ -477,15 +477,15 @@
     until = EPOCH + world.now + 12.0
     view.store_record("cf/c/east", CellLink(until, 12.0, 10.0), 1)
     ctx = world.enter().ctx
-    cells.home.observe()
+    cells.home.observe_grants()
     ctx.wall_time = WallTime(until + 7200.0)
-    assert not cells.home._is_proven_gone("east")
+    assert not cells.home._has_grant_expired("east")
     ctx.now = MonotonicTime(ctx.now + 26.0)
-    assert not cells.home._is_proven_gone("east")
+    assert not cells.home._has_grant_expired("east")
     ctx.now = MonotonicTime(ctx.now + 2.0)
-    assert cells.home._is_proven_gone("east")
+    assert cells.home._has_grant_expired("east")
     ctx.wall_time = WallTime(until + 1.0)  # set back again: not before the time of day has it too
-    assert not cells.home._is_proven_gone("east")
+    assert not cells.home._has_grant_expired("east")
 
 
 # Words on records
@@ -497,14 +497,14 @@
     cells = Cells(config(), world.core)
     world.run(3.0)
     ctx = world.enter().ctx
-    raw = dump_frame(frame(sent_at=ctx.wall_time, grants=(HANDLE,), revoked=(OTHERS[1],)))
-    assert cells.directory.take(raw, "127.0.1.1") is not None
+    raw = encode_frame(frame(sent_at=ctx.wall_time, grants=(HANDLE,), revoked=(OTHERS[1],)))
+    assert cells.directory.receive_frame(raw, "127.0.1.1") is not None
     return cells
 
 
 def words(cells: Cells) -> list[tuple[Handle, GuestStage]]:
     """What the next frame to east says of its jobs here."""
-    filled = cells.guest.fill(frame(), cells.directory.cells["east"])
+    filled = cells.guest.add_guest_part(frame(), cells.directory.cells["east"])
     return [(state.handle, state.stage) for state in filled.guests]
 
 
@@ -524,12 +524,12 @@
     assert records.job_key(NAME) in cells.core.view.unreadable_keys
     assert words(cells) == []
     state = GuestState(HANDLE, GuestStage.FINISHED, 0, [], 0)
-    raw = dump_frame(frame(seq=2, sent_at=cells.core.ctx.wall_time, guests=(state,)))
-    cell = cells.directory.take(raw, "127.0.1.1")
+    raw = encode_frame(frame(seq=2, sent_at=cells.core.ctx.wall_time, guests=(state,)))
+    cell = cells.directory.receive_frame(raw, "127.0.1.1")
     assert cell is not None
-    assert cells.home.fill(frame(), cell).closed == ()
+    assert cells.home.add_home_part(frame(), cell).closed == ()
     cells.core.view.unreadable_keys.clear()
-    assert cells.home.fill(frame(), cell).closed == (HANDLE,)
+    assert cells.home.add_home_part(frame(), cell).closed == (HANDLE,)
 
 
 @pytest.mark.parametrize(("held_s", "renewed"), [(5.0, True), (4.0, False)])
@@ -544,10 +544,10 @@
         records.job_key(JobId("job-2")), JobRecord(spec(), ctx.wall_time, delegation=away), 10**6
     )
     view.store_record("cf/c/east", CellLink(ctx.wall_time + 5.0, 12.0, 10.0), 10**6 + 1)
-    raw = dump_frame(frame(sent_at=ctx.wall_time, held_until=ctx.wall_time + held_s))
-    cell = cells.directory.take(raw, "127.0.1.1")
+    raw = encode_frame(frame(sent_at=ctx.wall_time, held_until=ctx.wall_time + held_s))
+    cell = cells.directory.receive_frame(raw, "127.0.1.1")
     assert cell is not None
-    cells.home._renew(cell)
+    cells.home._renew_grant(cell)
     assert ("c/east" in waits_for_writing(cells)) is renewed
 
 
@@ -571,8 +571,8 @@
 
 def hears(cells: Cells, seq: int, **fields: Any) -> None:
     """A frame of east, and what the leader makes of it."""
-    raw = dump_frame(frame(seq=seq, sent_at=cells.core.ctx.wall_time, **fields))
-    assert cells.directory.take(raw, "127.0.1.1") is not None
+    raw = encode_frame(frame(seq=seq, sent_at=cells.core.ctx.wall_time, **fields))
+    assert cells.directory.receive_frame(raw, "127.0.1.1") is not None
     cells.guest.tick()
 
 
@@ -616,7 +616,7 @@
 def test_a_guest_is_dealt_only_under_a_grant(held_s: float, waits: bool) -> None:
     cells = guest_world(GuestStage.GRANTED, held_s)
     leader = cells.core.leader
-    names = [wait.name for wait in leader.list_queued_jobs(cells.port.quota())]
+    names = [wait.name for wait in leader.list_queued_jobs(cells.port.new_quota_tracker())]
     assert (NAME in names) is waits
     assert ("grant has ended" in leader.waiting_reasons.get(NAME, "")) is not waits
 
@@ -630,7 +630,9 @@
     view.store_record(records.job_key(NAME), urgent, 10**6 + 1)
     own = JobId("job-2")
     view.store_record(records.job_key(own), JobRecord(spec(NameId=own), ctx.wall_time), 10**6 + 1)
-    order = [wait.name for wait in cells.core.leader.list_queued_jobs(cells.port.quota())]
+    order = [
+        wait.name for wait in cells.core.leader.list_queued_jobs(cells.port.new_quota_tracker())
+    ]
     assert order == ([own, NAME] if patient_s == 0.0 else [NAME, own])
 
 
@@ -704,13 +706,13 @@
 # Policy
 
 
-def candidate(**fields: Any) -> Candidate:
-    return Candidate(NAME, spec(ImageGb=5.0), 1, 100.0, 60.0, 0.0007, None)._replace(**fields)
+def candidate(**fields: Any) -> SpillCandidate:
+    return SpillCandidate(NAME, spec(ImageGb=5.0), 1, 100.0, 60.0, 0.0007, None)._replace(**fields)
 
 
-def chosen(item: Candidate, *pools: PoolState, room: int = 8) -> list[str]:
-    target = {"dublin": Target(Pools(pools), room)}
-    return [choice.why for choice in choose([item], target, config().spill, 0.0005)]
+def chosen(item: SpillCandidate, *pools: PoolState, room: int = 8) -> list[str]:
+    target = {"dublin": SpillTarget(PoolEstimator(pools), room)}
+    return [choice.reason for choice in choose_moves([item], target, config().spill, 0.0005)]
 
 
 def test_a_job_moves_only_for_more_than_the_move_costs() -> None:
@@ -724,7 +726,9 @@
 
 def test_a_dearer_slot_has_to_be_worth_it() -> None:
     dear = pool(price=0.0017)
-    assert cost_s(candidate(), Pools([dear]), 0, 0.0005) == pytest.approx(13 + 120, rel=0.01)
+    assert move_cost_s(candidate(), PoolEstimator([dear]), 0, 0.0005) == pytest.approx(
+        13 + 120, rel=0.01
+    )
     assert not chosen(candidate(), dear)
     assert chosen(candidate(here_s=160.0), dear)
 
@@ -752,18 +756,18 @@
 
 def test_what_is_offered_fills_the_room_that_was_told() -> None:
     jobs = [candidate(name=JobId(f"job-{n}"), tasks=4) for n in range(9)]
-    target = {"dublin": Target(Pools([pool(drain=0.0)]), 8)}
-    assert len(choose(jobs, target, config().spill, 0.0005)) == 2  # ten slots, four each
+    target = {"dublin": SpillTarget(PoolEstimator([pool(drain=0.0)]), 8)}
+    assert len(choose_moves(jobs, target, config().spill, 0.0005)) == 2  # ten slots, four each
 
 
 def test_expected_waits() -> None:
     one = spec(Accelerators=2.0)
-    assert pool_wait(one, 4, pool()) == 0.0
-    assert pool_wait(one, 4, pool(free=2.0)) == pytest.approx(12.0)
-    assert pool_wait(one, 4, pool(free=0.0, ahead=10.0)) == pytest.approx(36.0)
+    assert estimate_wait_s(one, 4, pool()) == 0.0
+    assert estimate_wait_s(one, 4, pool(free=2.0)) == pytest.approx(12.0)
+    assert estimate_wait_s(one, 4, pool(free=0.0, ahead=10.0)) == pytest.approx(36.0)
     booting = pool(free=0.0, ahead=10.0, growth=100.0)
-    assert pool_wait(one, 4, booting) == pytest.approx(26.0)
-    assert pool_wait(one, 4, booting._replace(growth=10.0)) == pytest.approx(36.0)
+    assert estimate_wait_s(one, 4, booting) == pytest.approx(26.0)
+    assert estimate_wait_s(one, 4, booting._replace(growth_slots=10.0)) == pytest.approx(36.0)
 
 
 # Measured waits
@@ -771,24 +775,24 @@
 
 def test_the_model_is_corrected_by_what_was_measured() -> None:
     view = View()
-    log = WaitLog(view)
-    for number in range(LEAST_SAMPLES):
+    log = WaitTracker(view)
+    for number in range(MIN_SAMPLES):
         name = JobId(f"job-{number}")
         view.store_record(records.job_key(name), JobRecord(spec(NameId=name), EPOCH), number + 1)
-        log.expect(name, EPOCH, 9.0)
-        log.expect(name, EPOCH + 5.0, 900.0)  # only the first word counts
+        log.record_estimate(name, EPOCH, 9.0)
+        log.record_estimate(name, EPOCH + 5.0, 900.0)  # only the first word counts
         entry = TaskEntry(0, records.PLACED, 1, "n0", "a", "i-1", 1)
         started = JobRecord(spec(NameId=name), EPOCH, entries=[entry])
         view.store_record(records.job_key(name), started, number + 1000)
-        assert log.factor == 1.0
-    log.look(MonotonicTime(100.0), EPOCH + 19.0)
-    assert log.factor == pytest.approx(2.0)
-    summary = read_summary(log.encoded())
+        assert log.correction_factor == 1.0
+    log.record_started_jobs(MonotonicTime(100.0), EPOCH + 19.0)
+    assert log.correction_factor == pytest.approx(2.0)
+    summary = read_summary(log.encode_histogram())
     assert summary is not None
-    assert summary.total == LEAST_SAMPLES
+    assert summary.total == MIN_SAMPLES
     assert summary.median == pytest.approx(19.0, rel=0.02)
-    log.expect(JobId("job-0"), EPOCH + 20.0, 50.0)  # it has tasks left, and has started
-    assert not log.expected
+    log.record_estimate(JobId("job-0"), EPOCH + 20.0, 50.0)  # it has tasks left, and has started
+    assert not log.estimates
 
 
 @pytest.mark.parametrize("raw", [b"x", b"HISTFAAAAA", bytes(200)])
