--- a/coursefold/cells/cells.py
+++ b/coursefold/cells/cells.py
@@ -74,10 +74,12 @@
             now_lapsed = ctx.grants.has_expired(home, ctx.now, ctx.wall_time)
             if now_lapsed and not self.expired_grants.get(home, True):
                 guests = self.core.view.guest_jobs.items()
-                names = [n for n, job in guests if job.guest and job.guest.home_cell == home]
-                if names:
-                    log.info("the grant of %s has ended: %d jobs are stopped", home, len(names))
-                    self.core.stop_cancelled_tasks(names)
+                guest_names = [n for n, job in guests if job.guest and job.guest.home_cell == home]
+                if guest_names:
+                    log.info(
+                        "the grant of %s has ended: %d jobs are stopped", home, len(guest_names)
+                    )
+                    self.core.stop_cancelled_tasks(guest_names)
             self.expired_grants[home] = now_lapsed
 
     def receive_frame(self, raw: bytes, address: str) -> bool:
@@ -147,9 +149,9 @@
                 )
         for name, job in view.guest_jobs.items():
             if job.guest:
-                whose = f"here for cell {job.guest.home_cell}"
+                guest_location = f"here for cell {job.guest.home_cell}"
                 found.append(
-                    (job.guest.stage_started_at, name, whose, job.guest.stage.name.lower())
+                    (job.guest.stage_started_at, name, guest_location, job.guest.stage.name.lower())
                 )
         return [
             {"job": name, "where": where, "stage": stage, "for_s": round(max(0.0, wall - at), 1)}
@@ -158,13 +160,13 @@
 
     def _describe_cell(self, cell: RemoteCell) -> dict[str, Any]:
         ctx, view = self.core.ctx, self.core.view
-        away = [
+        delegations = [
             job.delegation
             for job in view.delegated_jobs.values()
             if job.delegation and job.delegation.guest_cell == cell.name
         ]
         guests = [j for j in view.guest_jobs.values() if j.guest and j.guest.home_cell == cell.name]
-        heard = ctx.now - cell.last_frame_at
+        silence_s = ctx.now - cell.last_frame_at
         summary = (
             read_summary(cell.frame.wait_histogram)
             if cell.frame and cell.frame.wait_histogram
@@ -173,10 +175,10 @@
         return {
             "cell": cell.name,
             "reachable": self.directory.is_reachable(cell.name),
-            "heard_s": round(heard, 1) if cell.frame else None,
+            "heard_s": round(silence_s, 1) if cell.frame else None,
             "leader": cell.frame.member if cell.frame else None,
-            "offered": sum(a.stage == DelegationStage.OFFERED for a in away),
-            "away": sum(a.stage != DelegationStage.OFFERED for a in away),
+            "offered": sum(a.stage == DelegationStage.OFFERED for a in delegations),
+            "away": sum(a.stage != DelegationStage.OFFERED for a in delegations),
             "guests": len(guests),
             "free_slots": round(sum(pool.free_slots for pool in cell.pools), 1),
             "waits": summary._asdict() if summary else None,
--- a/coursefold/cells/config.py
+++ b/coursefold/cells/config.py
@@ -90,42 +90,43 @@
     guest cell's workers do; both clocks may be off. Zero or less: no grant is short enough.
     """
     workers = settings.params.workers
-    lease = workers.lease_s if lease_s is None else lease_s
-    skew = SKEWED_CLOCK_COUNT * settings.params.skew_ms / 1000.0
-    return workers.cancel_s - lease * 1.002 - skew - CANCEL_MARGIN_S
+    workers_lease_s = workers.lease_s if lease_s is None else lease_s
+    skew_s = SKEWED_CLOCK_COUNT * settings.params.skew_ms / 1000.0
+    return workers.cancel_s - workers_lease_s * 1.002 - skew_s - CANCEL_MARGIN_S
 
 
-def _check_cell(file: CellsFile, at: int, seen: dict[str, str]) -> None:
-    entry = file.cells[at]
+def _check_cell(file: CellsFile, index: int, cell_of_address: dict[str, str]) -> None:
+    entry = file.cells[index]
     if not entry.controllers:
-        raise SettingsError(f"cells[{at}].controllers: none is named")
+        raise SettingsError(f"cells[{index}].controllers: none is named")
     if not entry.networks:
-        raise SettingsError(f"cells[{at}].networks: none is named")
+        raise SettingsError(f"cells[{index}].networks: none is named")
     for member, address in entry.controllers.items():
         try:
             split_address(address)
-        except ValueError as wrong:
-            raise SettingsError(f"cells[{at}].controllers.{member}: {wrong}") from None
-        if address in seen:
+        except ValueError as error:
+            raise SettingsError(f"cells[{index}].controllers.{member}: {error}") from None
+        if address in cell_of_address:
             raise SettingsError(
-                f"cells[{at}].controllers.{member}: {address} is in cell {seen[address]} already"
+                f"cells[{index}].controllers.{member}: {address} is in cell "
+                f"{cell_of_address[address]} already"
             )
-        seen[address] = entry.name
+        cell_of_address[address] = entry.name
     for number, network in enumerate(entry.networks):
         try:
             IPNetwork(network)
         except (AddrFormatError, ValueError):
             raise SettingsError(
-                f"cells[{at}].networks[{number}]: {network!r} is no network"
+                f"cells[{index}].networks[{number}]: {network!r} is no network"
             ) from None
 
 
 def _check_networks(file: CellsFile) -> None:
     """A frame's cell is told by its address, so no two cells may share one."""
-    for at, entry in enumerate(file.cells):
-        for other in file.cells[:at]:
+    for index, entry in enumerate(file.cells):
+        for other in file.cells[:index]:
             if not IPSet(entry.networks).isdisjoint(IPSet(other.networks)):
-                raise SettingsError(f"cells[{at}].networks: overlap with those of {other.name}")
+                raise SettingsError(f"cells[{index}].networks: overlap with those of {other.name}")
 
 
 def check_cells_file(file: CellsFile, settings: Settings) -> None:
@@ -135,18 +136,20 @@
         raise SettingsError(f"cells: the own cell {file.cell!r} is not among them")
     if len(set(names)) != len(names):
         raise SettingsError("cells: names are not all different")
-    seen: dict[str, str] = {}
-    for at in range(len(file.cells)):
-        _check_cell(file, at, seen)
+    cell_of_address: dict[str, str] = {}
+    for index in range(len(file.cells)):
+        _check_cell(file, index, cell_of_address)
     _check_networks(file)
-    own = file.cells[names.index(file.cell)]
-    if settings.member not in own.controllers:
+    own_cell = file.cells[names.index(file.cell)]
+    if settings.member not in own_cell.controllers:
         raise SettingsError(f"cells[{names.index(file.cell)}].controllers: {settings.member} lacks")
-    longest = max_grant_s(settings)
-    if longest <= 0:
+    longest_s = max_grant_s(settings)
+    if longest_s <= 0:
         raise SettingsError("params.workers.cancel_s: too short for any grant to another cell")
-    if file.grant_s is not None and file.grant_s > longest:
-        raise SettingsError(f"grant_s: must be {longest:g} or less with this cancel_s and lease_s")
+    if file.grant_s is not None and file.grant_s > longest_s:
+        raise SettingsError(
+            f"grant_s: must be {longest_s:g} or less with this cancel_s and lease_s"
+        )
 
 
 def load_cells(path: Path, settings: Settings) -> CellsConfig:
--- a/coursefold/cells/directory.py
+++ b/coursefold/cells/directory.py
@@ -33,10 +33,10 @@
 
     def is_newer(self, frame: Frame) -> bool:
         """Was this frame sent after the one that we have?"""
-        known = self.frame
-        return known is None or (frame.fencing_token, frame.sequence) > (
-            known.fencing_token,
-            known.sequence,
+        previous = self.frame
+        return previous is None or (frame.fencing_token, frame.sequence) > (
+            previous.fencing_token,
+            previous.sequence,
         )
 
 
@@ -53,8 +53,8 @@
         try:
             frame = decode_frame(raw)
             cell = self._check_sender(frame, address)
-        except InvalidFrameError as wrong:
-            self._log_dropped_frame(address, str(wrong))
+        except InvalidFrameError as error:
+            self._log_dropped_frame(address, str(error))
             return None
         if not cell.is_newer(frame):
             log.debug("cell frame %d of %s comes late", frame.sequence, frame.cell)
@@ -66,8 +66,8 @@
     def _log_dropped_frame(self, address: str, reason: str) -> None:
         """One log line a minute for the same fault: frames come twice a second."""
         fault = (address, _NUMBER_PATTERN.sub("", reason))
-        last = self.logged_faults.get(fault)
-        if last is not None and self.ctx.now - last < LOG_REPEAT_INTERVAL_S:
+        last_logged_at = self.logged_faults.get(fault)
+        if last_logged_at is not None and self.ctx.now - last_logged_at < LOG_REPEAT_INTERVAL_S:
             return
         if len(self.logged_faults) >= MAX_LOGGED_FAULTS:
             self.logged_faults.clear()
@@ -82,8 +82,8 @@
             raise InvalidFrameError(f"cell {frame.cell} has no such address")
         if frame.member not in self.config.entries[frame.cell].controllers:
             raise InvalidFrameError(f"cell {frame.cell} has no controller {frame.member[:40]!r}")
-        skew = 2.0 * self.ctx.settings.params.skew_ms / 1000.0
-        if abs(self.ctx.wall_time - frame.sent_at) > MAX_DELIVERY_DELAY_S + skew:
+        skew_s = 2.0 * self.ctx.settings.params.skew_ms / 1000.0
+        if abs(self.ctx.wall_time - frame.sent_at) > MAX_DELIVERY_DELAY_S + skew_s:
             raise InvalidFrameError(f"sent {self.ctx.wall_time - frame.sent_at:.1f} s ago")
         return cell
 
--- a/coursefold/cells/edits.py
+++ b/coursefold/cells/edits.py
@@ -19,13 +19,13 @@
 
 def merge_ranges(ranges: TaskRanges, added: TaskRanges) -> TaskRanges:
     """Ranges of task numbers brought together, in order."""
-    found: TaskRanges = []
-    for low, high in sorted([*ranges, *added]):
-        if found and low <= found[-1][1] + 1:
-            found[-1] = (found[-1][0], max(high, found[-1][1]))
+    merged: TaskRanges = []
+    for first, last in sorted([*ranges, *added]):
+        if merged and first <= merged[-1][1] + 1:
+            merged[-1] = (merged[-1][0], max(last, merged[-1][1]))
         else:
-            found.append((low, high))
-    return found
+            merged.append((first, last))
+    return merged
 
 
 # The home cell's
@@ -37,63 +37,69 @@
     """The record, if the job is away under this epoch."""
     if not isinstance(record, JobRecord) or record.delegation is None:
         raise NotApplicableError("not away")
-    away = record.delegation
-    if not record.is_delegated or (away.guest_cell, away.epoch) != (cell, handle.epoch):
+    delegation = record.delegation
+    if not record.is_delegated or (delegation.guest_cell, delegation.epoch) != (cell, handle.epoch):
         raise NotApplicableError("away under another epoch")
-    return record, away
+    return record, delegation
 
 
-def offer_job(away: Delegation, ready: float) -> Change:
+def offer_job(delegation: Delegation, ready_at: float) -> Change:
     """From here on nothing of the job starts at home, until it has come back."""
 
     def change(record: Struct | None) -> EditResult:
         if not isinstance(record, JobRecord) or record.status != records.LIVE:
             raise NotApplicableError("over")
-        last = record.delegation.epoch if record.delegation else 0
+        last_epoch = record.delegation.epoch if record.delegation else 0
         if (
             record.is_delegated
             or record.entries
             or record.guest is not None
-            or away.epoch != last + 1
+            or delegation.epoch != last_epoch + 1
         ):
             raise NotApplicableError("not waiting")
         return replace(
             record,
-            delegation=away,
+            delegation=delegation,
             open_prerequisites=[],
-            ready_at=ready if record.open_prerequisites else record.ready_at,
+            ready_at=ready_at if record.open_prerequisites else record.ready_at,
         )
 
     return change
 
 
-def grant_job(cell: str, handle: Handle, wall: float) -> Change:
+def grant_job(cell: str, handle: Handle, wall_time: float) -> Change:
     """The guest cell has reserved room: it may start the job, for as long as the grant holds."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _require_delegation(record, cell, handle)
-        if away.stage != DelegationStage.OFFERED or job.status != records.LIVE:
+        job, delegation = _require_delegation(record, cell, handle)
+        if delegation.stage != DelegationStage.OFFERED or job.status != records.LIVE:
             raise NotApplicableError("not offered")
         granted = replace(
-            away,
+            delegation,
             stage=DelegationStage.GRANTED,
             reservation=handle.reservation,
-            stage_started_at=wall,
+            stage_started_at=wall_time,
         )
         return replace(job, delegation=granted)
 
     return change
 
 
-def mark_running(cell: str, handle: Handle, wall: float) -> Change:
+def mark_running(cell: str, handle: Handle, wall_time: float) -> Change:
     """The guest cell says that tasks run: for the job's user."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _require_delegation(record, cell, handle)
-        if away.stage != DelegationStage.GRANTED or away.reservation != handle.reservation:
+        job, delegation = _require_delegation(record, cell, handle)
+        if (
+            delegation.stage != DelegationStage.GRANTED
+            or delegation.reservation != handle.reservation
+        ):
             raise NotApplicableError("not granted")
         return replace(
-            job, delegation=replace(away, stage=DelegationStage.RUNNING, stage_started_at=wall)
+            job,
+            delegation=replace(
+                delegation, stage=DelegationStage.RUNNING, stage_started_at=wall_time
+            ),
         )
 
     return change
@@ -103,8 +109,11 @@
     """Tasks that the guest cell says are done: shown to users, and not repeated if it is lost."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _require_delegation(record, cell, handle)
-        if away.stage == DelegationStage.OFFERED or away.reservation != handle.reservation:
+        job, delegation = _require_delegation(record, cell, handle)
+        if (
+            delegation.stage == DelegationStage.OFFERED
+            or delegation.reservation != handle.reservation
+        ):
             raise NotApplicableError("another reservation")
         return replace(job, done_ranges=_add_done_ranges(job, done))
 
@@ -113,23 +122,23 @@
 
 def _add_done_ranges(job: JobRecord, done: TaskRanges) -> TaskRanges:
     """The job's done tasks and those that it has been told of."""
-    found = merge_ranges(job.done_ranges, done)
-    if found == job.done_ranges or found[-1][1] >= job.spec.task_count:
+    merged = merge_ranges(job.done_ranges, done)
+    if merged == job.done_ranges or merged[-1][1] >= job.spec.task_count:
         raise NotApplicableError("nothing new, or no such task")
-    return found
+    return merged
 
 
-def withdraw_job(cell: str, handle: Handle, wall: float, why: str) -> Change:
+def withdraw_job(cell: str, handle: Handle, wall_time: float, reason: str) -> Change:
     """Have the guest cell stop and release the job."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _require_delegation(record, cell, handle)
-        if away.stage not in (DelegationStage.GRANTED, DelegationStage.RUNNING):
+        job, delegation = _require_delegation(record, cell, handle)
+        if delegation.stage not in (DelegationStage.GRANTED, DelegationStage.RUNNING):
             raise NotApplicableError("not granted")
         return replace(
             job,
             delegation=replace(
-                away, stage=DelegationStage.WITHDRAWN, stage_started_at=wall, why=why
+                delegation, stage=DelegationStage.WITHDRAWN, stage_started_at=wall_time, why=reason
             ),
         )
 
@@ -137,7 +146,7 @@
 
 
 def return_job(
-    cell: str, handle: Handle, wall: float, why: str, told: GuestState | None = None
+    cell: str, handle: Handle, wall_time: float, reason: str, guest_state: GuestState | None = None
 ) -> Change:
     """The job is at home again: on the guest cell's word, on proof, or before any grant.
 
@@ -145,18 +154,23 @@
     """
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _require_delegation(record, cell, handle)
-        if away.stage != DelegationStage.OFFERED and away.reservation != handle.reservation:
+        job, delegation = _require_delegation(record, cell, handle)
+        if (
+            delegation.stage != DelegationStage.OFFERED
+            and delegation.reservation != handle.reservation
+        ):
             raise NotApplicableError("another reservation")
-        back = replace(away, stage=DelegationStage.HOME, stage_started_at=wall, why=why)
-        if told is not None:
+        returned = replace(
+            delegation, stage=DelegationStage.HOME, stage_started_at=wall_time, why=reason
+        )
+        if guest_state is not None:
             done = [
                 r
-                for r in merge_ranges(job.done_ranges, told.done_ranges)
+                for r in merge_ranges(job.done_ranges, guest_state.done_ranges)
                 if r[1] < job.spec.task_count
             ]
-            job = replace(job, done_ranges=done, attempt=max(job.attempt, told.attempt))
-        return end_if_complete(replace(job, delegation=back))
+            job = replace(job, done_ranges=done, attempt=max(job.attempt, guest_state.attempt))
+        return end_if_complete(replace(job, delegation=returned))
 
     return change
 
@@ -165,8 +179,11 @@
     """The guest cell has finished the job."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _require_delegation(record, cell, handle)
-        if away.stage == DelegationStage.OFFERED or away.reservation != handle.reservation:
+        job, delegation = _require_delegation(record, cell, handle)
+        if (
+            delegation.stage == DelegationStage.OFFERED
+            or delegation.reservation != handle.reservation
+        ):
             raise NotApplicableError("another reservation")
         if job.status == records.CANCELLED:
             return Ending(records.CANCELLED, job.spec.task_count)
@@ -175,14 +192,14 @@
     return change
 
 
-def extend_grant(until: float, span: float, gone_s: float) -> Change:
+def extend_grant(until: float, span_s: float, lease_s: float) -> Change:
     """Written before the guest cell is told: no successor takes a job back sooner."""
 
     def change(record: Struct | None) -> EditResult:
         link = record if isinstance(record, CellLink) else CellLink()
         if until <= link.granted_until:
             raise NotApplicableError("granted for longer")
-        return replace(link, granted_until=until, granted_s=span, granted_lease_s=gone_s)
+        return replace(link, granted_until=until, granted_s=span_s, granted_lease_s=lease_s)
 
     return change
 
@@ -190,19 +207,19 @@
 # The guest cell's
 
 
-def reserve_job(home: str, item: Offer, reservation: str, wall: float) -> Change:
+def reserve_job(home: str, offer: Offer, reservation: str, wall_time: float) -> Change:
     """Promise room for another cell's job; nothing of it starts yet."""
 
     def change(record: Struct | None) -> EditResult:
         if record is not None:
             raise NotApplicableError("the id is taken here")
-        guest = Guest(home, item.handle.epoch, reservation, GuestStage.RESERVED, wall)
+        guest = Guest(home, offer.handle.epoch, reservation, GuestStage.RESERVED, wall_time)
         return JobRecord(
-            item.spec,
-            item.accepted_at,
-            attempt=item.attempt,
-            done_ranges=item.done_ranges,
-            ready_at=wall,
+            offer.spec,
+            offer.accepted_at,
+            attempt=offer.attempt,
+            done_ranges=offer.done_ranges,
+            ready_at=wall_time,
             guest=guest,
         )
 
@@ -222,14 +239,16 @@
     return record, guest
 
 
-def accept_grant(home: str, handle: Handle, wall: float) -> Change:
+def accept_grant(home: str, handle: Handle, wall_time: float) -> Change:
     """Home has granted the reservation: its tasks may be placed."""
 
     def change(record: Struct | None) -> EditResult:
         job, guest = _require_guest(record, home, handle)
         if guest.stage != GuestStage.RESERVED or job.status != records.LIVE:
             raise NotApplicableError("not reserved")
-        return replace(job, guest=replace(guest, stage=GuestStage.GRANTED, stage_started_at=wall))
+        return replace(
+            job, guest=replace(guest, stage=GuestStage.GRANTED, stage_started_at=wall_time)
+        )
 
     return change
 
@@ -244,8 +263,8 @@
             GuestStage.GRANTED,
         ):
             raise NotApplicableError("revoked")
-        kept = [entry for entry in job.entries if entry.stage != records.ASSIGNED]
-        return end_if_complete(replace(job, status=records.CANCELLED, entries=kept))
+        remaining_entries = [entry for entry in job.entries if entry.stage != records.ASSIGNED]
+        return end_if_complete(replace(job, status=records.CANCELLED, entries=remaining_entries))
 
     return change
 
@@ -262,13 +281,13 @@
     return change
 
 
-def record_held_grant(until: float, span: float) -> Change:
+def record_held_grant(until: float, span_s: float) -> Change:
     """What home has told us: guests may run until then."""
 
     def change(record: Struct | None) -> EditResult:
         link = record if isinstance(record, CellLink) else CellLink()
         if until <= link.held_until:
             raise NotApplicableError("known")
-        return replace(link, held_until=until, held_s=span)
+        return replace(link, held_until=until, held_s=span_s)
 
     return change
--- a/coursefold/cells/estimate.py
+++ b/coursefold/cells/estimate.py
@@ -29,23 +29,24 @@
 
 def compute_pool_state(demand: PoolDemand, growth_slots: float) -> PoolState:
     """A pool as it is, booting machines included, before anything that waits is placed."""
-    size = float(demand.machine_count * demand.slots_per_machine)
-    mean_run = demand.mean_batch_run_s if demand.batch_slots else demand.mean_run_s
-    steady = 0.0
+    slots_total = float(demand.machine_count * demand.slots_per_machine)
+    mean_run_s = demand.mean_batch_run_s if demand.batch_slots else demand.mean_run_s
+    steady_wait_s = 0.0
     rate = demand.arrived_slots / demand.window_s
-    if 0 < rate * demand.mean_run_s < MAX_UTILIZATION * size:
-        steady = (
-            evaluate_queue(int(size), rate, 1 / demand.mean_run_s).mean_wait_s * demand.batch_factor
+    if 0 < rate * demand.mean_run_s < MAX_UTILIZATION * slots_total:
+        steady_wait_s = (
+            evaluate_queue(int(slots_total), rate, 1 / demand.mean_run_s).mean_wait_s
+            * demand.batch_factor
         )
     return PoolState(
         type_info=demand.type_info,
         spot=demand.spot,
         price_per_slot_s=demand.price_per_slot_s,
-        free_slots=max(0.0, size - demand.busy_slots),
+        free_slots=max(0.0, slots_total - demand.busy_slots),
         queued_slots=0.0,
         # Of a pool that is full; what is free is told apart. Replicas do not end by themselves.
-        freed_slots_per_s=max(0.0, size - demand.standing_slots) / max(1.0, mean_run),
-        steady_wait_s=min(MAX_WAIT_S, steady),
+        freed_slots_per_s=max(0.0, slots_total - demand.standing_slots) / max(1.0, mean_run_s),
+        steady_wait_s=min(MAX_WAIT_S, steady_wait_s),
         growth_slots=growth_slots,
     )
 
@@ -65,16 +66,16 @@
 def estimate_wait_s(spec: Job, task_count: int, pool: PoolState) -> float:
     """Expected seconds until so many of the job's tasks start in the pool."""
     slots = task_count * slots_of_task(spec, pool.type_info)
-    lacking = slots + pool.queued_slots - pool.free_slots
-    if lacking <= 0:
+    missing_slots = slots + pool.queued_slots - pool.free_slots
+    if missing_slots <= 0:
         # There is room now; the less, the more likely it is gone on arrival.
         return pool.steady_wait_s * (slots / pool.free_slots if pool.free_slots else 0.0)
-    wait = MAX_WAIT_S
+    wait_s = MAX_WAIT_S
     if pool.freed_slots_per_s > 0:
-        wait = min(MAX_WAIT_S, pool.steady_wait_s + lacking / pool.freed_slots_per_s)
-    if lacking <= pool.growth_slots:
-        wait = min(wait, pool.type_info.boot_s * BOOT_TIME_FACTOR)
-    return wait
+        wait_s = min(MAX_WAIT_S, pool.steady_wait_s + missing_slots / pool.freed_slots_per_s)
+    if missing_slots <= pool.growth_slots:
+        wait_s = min(wait_s, pool.type_info.boot_s * BOOT_TIME_FACTOR)
+    return wait_s
 
 
 class PoolEstimator:
@@ -89,15 +90,15 @@
         for at, pool in enumerate(self.states):
             if not may_run_in(spec, pool):
                 continue
-            wait = estimate_wait_s(spec, task_count, pool)
-            if found is None or wait < found.wait_s:
-                found = ExpectedWait(wait, at)
+            wait_s = estimate_wait_s(spec, task_count, pool)
+            if found is None or wait_s < found.wait_s:
+                found = ExpectedWait(wait_s, at)
         return found
 
     def add_load(self, pool_index: int, spec: Job, task_count: int) -> None:
         """The job is on its way to this pool."""
         pool = self.states[pool_index]
-        left = pool.free_slots - task_count * slots_of_task(spec, pool.type_info)
+        free_after = pool.free_slots - task_count * slots_of_task(spec, pool.type_info)
         self.states[pool_index] = pool._replace(
-            free_slots=max(0.0, left), queued_slots=pool.queued_slots + max(0.0, -left)
+            free_slots=max(0.0, free_after), queued_slots=pool.queued_slots + max(0.0, -free_after)
         )
--- a/coursefold/cells/guest.py
+++ b/coursefold/cells/guest.py
@@ -122,9 +122,11 @@
     def _record_grant(self, home: str, frame: Frame) -> None:
         """Record the grant's end, before any guest runs by it."""
         link = self.view.cell_links.get(home, CellLink())
-        left = frame.granted_until - self.ctx.wall_time
-        if frame.granted_until > link.held_until and left > 0:
-            self.port.change_link(home, edits.record_held_grant(frame.granted_until, left), "held")
+        remaining = frame.granted_until - self.ctx.wall_time
+        if frame.granted_until > link.held_until and remaining > 0:
+            self.port.change_link(
+                home, edits.record_held_grant(frame.granted_until, remaining), "held"
+            )
 
     def _accept_grant(self, home: str, handle: Handle) -> None:
         if self.ctx.grants.has_expired(home, self.ctx.now, self.ctx.wall_time):
@@ -134,22 +136,22 @@
             self.counts["granted"] += 1
             self.decisions.record(HandoverStep.RUN, home, handle)
 
-    def _revoke(self, home: str, handle: Handle, why: str) -> None:
+    def _revoke(self, home: str, handle: Handle, reason: str) -> None:
         if self.port.change_job(handle.job, edits.revoke_job(home, handle), EDIT_TAG):
-            self.decisions.record(HandoverStep.STOP, home, handle, why)
+            self.decisions.record(HandoverStep.STOP, home, handle, reason)
 
-    def _delete(self, home: str, handle: Handle, why: str) -> None:
+    def _delete(self, home: str, handle: Handle, reason: str) -> None:
         if self.port.change_job(handle.job, edits.delete_guest(home, handle), EDIT_TAG):
-            self.decisions.record(HandoverStep.DROP, home, handle, why)
+            self.decisions.record(HandoverStep.DROP, home, handle, reason)
 
     # Offers
 
     def _answer_offers(self, home: str, frame: Frame) -> None:
         """Once for each frame: reserve room, or say why not."""
-        number = (frame.fencing_token, frame.sequence)
-        if self.answered_frames.get(home) == number:
+        frame_id = (frame.fencing_token, frame.sequence)
+        if self.answered_frames.get(home) == frame_id:
             return
-        self.answered_frames[home] = number
+        self.answered_frames[home] = frame_id
         known = self.refusals.get(home, {})
         refusals = self.refusals[home] = {
             offer.handle: known[offer.handle] for offer in frame.offers if offer.handle in known
@@ -157,9 +159,9 @@
         pools = PoolEstimator(self.pools)
         for offer in frame.offers:
             if offer.handle not in refusals and not self._is_here(home, offer.handle):
-                why = self._explain_refusal(home, offer, pools)
-                if why:
-                    self._refuse(home, offer.handle, why)
+                reason = self._explain_refusal(home, offer, pools)
+                if reason:
+                    self._refuse(home, offer.handle, reason)
                 else:
                     self._reserve(home, offer)
         self.pools = pools.states
@@ -181,15 +183,15 @@
         if offer.handle.job in self.view.jobs:
             return "the id is taken here"
         tasks = offer.spec.task_count - sum(high - low + 1 for low, high in offer.done_ranges)
-        why = self.port.explain_team_refusal(offer.spec, tasks)
-        if why:
-            return why
-        found = pools.find_shortest_wait(offer.spec, tasks)
-        if found is None:
+        reason = self.port.explain_team_refusal(offer.spec, tasks)
+        if reason:
+            return reason
+        expected = pools.find_shortest_wait(offer.spec, tasks)
+        if expected is None:
             return "no machine type here may run it"
-        if found.wait_s >= offer.expected_wait_s:
-            return f"expected wait here {found.wait_s:.0f} s"
-        pools.add_load(found.pool_index, offer.spec, tasks)
+        if expected.wait_s >= offer.expected_wait_s:
+            return f"expected wait here {expected.wait_s:.0f} s"
+        pools.add_load(expected.pool_index, offer.spec, tasks)
         return ""
 
     def _count_live_guests(self) -> int:
@@ -197,24 +199,24 @@
         stages = (job.guest.stage for job in self.view.guest_jobs.values() if job.guest)
         return sum(stage not in ENDED_STAGES for stage in stages)
 
-    def _refuse(self, home: str, handle: Handle, why: str) -> None:
+    def _refuse(self, home: str, handle: Handle, reason: str) -> None:
         self.counts["refused"] += 1
-        self.refusals.setdefault(home, {})[handle] = why
-        self.decisions.record(HandoverStep.REFUSE, home, handle, why)
+        self.refusals.setdefault(home, {})[handle] = reason
+        self.decisions.record(HandoverStep.REFUSE, home, handle, reason)
 
     def _reserve(self, home: str, offer: Offer) -> None:
         self.reservation_count += 1
         reservation = f"{self.view.fencing_token}-{self.reservation_count}"
         handle = offer.handle
 
-        def settled(ok: bool, why: str) -> None:
+        def settled(ok: bool, reason: str) -> None:
             if ok:
                 self.counts["reserved"] += 1
                 self.decisions.record(
                     HandoverStep.RESERVE, home, handle._replace(reservation=reservation)
                 )
             else:
-                self._refuse(home, handle, why)
+                self._refuse(home, handle, reason)
 
         change = edits.reserve_job(home, offer, reservation, self.ctx.wall_time)
         self.port.propose(
@@ -238,15 +240,15 @@
         pools = queue.pools
         shares = [self.config.guests.share * size for size in queue.pool_slots]
         for job in self.view.guest_jobs.values():
-            left = job.spec.task_count - job.done_count
-            found = pools.find_shortest_wait(job.spec, left)
-            if found is None or left <= 0:
+            remaining = job.spec.task_count - job.done_count
+            expected = pools.find_shortest_wait(job.spec, remaining)
+            if expected is None or remaining <= 0:
                 continue
-            shares[found.pool_index] -= left * slots_of_task(
-                job.spec, pools.states[found.pool_index].type_info
+            shares[expected.pool_index] -= remaining * slots_of_task(
+                job.spec, pools.states[expected.pool_index].type_info
             )
             if job.guest is not None and job.guest.stage == GuestStage.RESERVED:
-                pools.add_load(found.pool_index, job.spec, left)
+                pools.add_load(expected.pool_index, job.spec, remaining)
         self.pools = [
             pool._replace(
                 free_slots=max(0.0, min(pool.free_slots, share)),
@@ -271,7 +273,7 @@
         return frame._replace(
             held_until=link.held_until,
             guests=tuple(states),
-            refusals=tuple(Refusal(handle, why) for handle, why in refusals.items()),
+            refusals=tuple(Refusal(handle, reason) for handle, reason in refusals.items()),
             pools=tuple(self.pools),
         )
 
@@ -280,8 +282,8 @@
         assert job.guest is not None
         stage = job.guest.stage
         running = sum(entry.stage != records.ASSIGNED for entry in job.entries)
-        whole = stage == GuestStage.RELEASED or len(job.done_ranges) <= MAX_PROGRESS_RANGES
-        done = job.done_ranges if whole else []
+        is_whole = stage == GuestStage.RELEASED or len(job.done_ranges) <= MAX_PROGRESS_RANGES
+        done = job.done_ranges if is_whole else []
         return GuestState(guest_handle(name, job), stage, running, done, job.attempt)
 
     def _list_unknown_handles(self, cell: RemoteCell, known: set[Handle]) -> list[GuestState]:
--- a/coursefold/cells/home.py
+++ b/coursefold/cells/home.py
@@ -71,9 +71,11 @@
     def tick(self) -> None:
         """One round of the leader."""
         for name, job in list(self.view.delegated_jobs.items()):
-            away = job.delegation
-            if away is not None:
-                self._follow_delegation(name, job, away, Handle(name, away.epoch, away.reservation))
+            delegation = job.delegation
+            if delegation is not None:
+                self._follow_delegation(
+                    name, job, delegation, Handle(name, delegation.epoch, delegation.reservation)
+                )
         for cell in self.directory.cells.values():
             self._renew_grant(cell)
         if self.ctx.now - self.chosen_at >= CHOOSE_INTERVAL_S:
@@ -83,33 +85,39 @@
     # Jobs that are away
 
     def _follow_delegation(
-        self, name: JobId, job: JobRecord, away: Delegation, handle: Handle
+        self, name: JobId, job: JobRecord, delegation: Delegation, handle: Handle
     ) -> None:
-        if away.stage == DelegationStage.OFFERED:
-            self._follow_offer(name, away, handle)
+        if delegation.stage == DelegationStage.OFFERED:
+            self._follow_offer(name, delegation, handle)
             return
-        told = self._find_guest_state(away, handle)
-        if told is not None and told.stage == GuestStage.FINISHED:
+        guest_state = self._find_guest_state(delegation, handle)
+        if guest_state is not None and guest_state.stage == GuestStage.FINISHED:
             if self.port.change_job(
-                name, edits.finish_job(away.guest_cell, handle), f"cell{away.epoch}"
+                name, edits.finish_job(delegation.guest_cell, handle), f"cell{delegation.epoch}"
             ):
                 self.counts["finished"] += 1
-                self.decisions.record(HandoverStep.FINISH, away.guest_cell, handle)
-        elif told is not None and told.stage == GuestStage.RELEASED:
-            self._return_job(name, away, handle, self._return_reason(away), told)
-        elif self._has_grant_expired(away.guest_cell):
-            self._return_job(name, away, handle, "the cell was not heard until its grant was over")
+                self.decisions.record(HandoverStep.FINISH, delegation.guest_cell, handle)
+        elif guest_state is not None and guest_state.stage == GuestStage.RELEASED:
+            self._return_job(name, delegation, handle, self._return_reason(delegation), guest_state)
+        elif self._has_grant_expired(delegation.guest_cell):
+            self._return_job(
+                name, delegation, handle, "the cell was not heard until its grant was over"
+            )
             self.counts["lost"] += 1
-        elif told is not None and told.running_count and away.stage == DelegationStage.GRANTED:
-            change = edits.mark_running(away.guest_cell, handle, self.ctx.wall_time)
-            self.port.change_job(name, change, f"cell{away.epoch}")
-        elif told is not None and told.done_ranges and job.status == records.LIVE:
-            self._note_progress(name, job, away, told)
-        elif away.stage == DelegationStage.GRANTED and job.status == records.LIVE:
-            self._withdraw_if_stuck(name, job, away, handle)
+        elif (
+            guest_state is not None
+            and guest_state.running_count
+            and delegation.stage == DelegationStage.GRANTED
+        ):
+            change = edits.mark_running(delegation.guest_cell, handle, self.ctx.wall_time)
+            self.port.change_job(name, change, f"cell{delegation.epoch}")
+        elif guest_state is not None and guest_state.done_ranges and job.status == records.LIVE:
+            self._note_progress(name, job, delegation, guest_state)
+        elif delegation.stage == DelegationStage.GRANTED and job.status == records.LIVE:
+            self._withdraw_if_stuck(name, job, delegation, handle)
 
     def _note_progress(
-        self, name: JobId, job: JobRecord, away: Delegation, told: GuestState
+        self, name: JobId, job: JobRecord, delegation: Delegation, guest_state: GuestState
     ) -> None:
         """Write what is done there, one job at a time, when nothing else waits to be written."""
         if (
@@ -117,27 +125,29 @@
             or not self.port.has_spare_write_rate()
         ):
             return
-        if edits.merge_ranges(job.done_ranges, told.done_ranges) == job.done_ranges:
+        if edits.merge_ranges(job.done_ranges, guest_state.done_ranges) == job.done_ranges:
             return
         self.progress_at = self.ctx.now
-        change = edits.note_progress(away.guest_cell, told.handle, told.done_ranges)
-        self.port.change_job(name, change, f"cell{away.epoch}", LOW_PRIORITY)
+        change = edits.note_progress(
+            delegation.guest_cell, guest_state.handle, guest_state.done_ranges
+        )
+        self.port.change_job(name, change, f"cell{delegation.epoch}", LOW_PRIORITY)
 
     @staticmethod
-    def _return_reason(away: Delegation) -> str:
-        if away.stage == DelegationStage.WITHDRAWN:
-            return away.why
+    def _return_reason(delegation: Delegation) -> str:
+        if delegation.stage == DelegationStage.WITHDRAWN:
+            return delegation.why
         return "the cell has released it"
 
-    def _find_guest_state(self, away: Delegation, handle: Handle) -> GuestState | None:
-        cell = self.directory.cells.get(away.guest_cell)
+    def _find_guest_state(self, delegation: Delegation, handle: Handle) -> GuestState | None:
+        cell = self.directory.cells.get(delegation.guest_cell)
         frame = cell.frame if cell else None
         if frame is None:
             return None
         return next((state for state in frame.guests if state.handle == handle), None)
 
-    def _follow_offer(self, name: JobId, away: Delegation, handle: Handle) -> None:
-        cell = self.directory.cells.get(away.guest_cell)
+    def _follow_offer(self, name: JobId, delegation: Delegation, handle: Handle) -> None:
+        cell = self.directory.cells.get(delegation.guest_cell)
         frame = cell.frame if cell else None
         if cell is not None and frame is not None:
             for state in frame.guests:
@@ -146,19 +156,22 @@
                     return
             for refusal in frame.refusals:
                 if refusal.handle[:2] == handle[:2]:
-                    self._return_job(name, away, handle, f"refused: {refusal.reason}")
+                    self._return_job(name, delegation, handle, f"refused: {refusal.reason}")
                     self.counts["refused"] += 1
                     return
-        if self.ctx.wall_time - away.stage_started_at > OFFER_TIMEOUT_S:
-            self._return_job(name, away, handle, "no answer")
+        if self.ctx.wall_time - delegation.stage_started_at > OFFER_TIMEOUT_S:
+            self._return_job(name, delegation, handle, "no answer")
             self.counts["unanswered"] += 1
 
     def _grant_job(self, cell: RemoteCell, name: JobId, handle: Handle) -> None:
         link = self.view.cell_links.get(cell.name, CellLink())
-        left = link.granted_until - self.ctx.wall_time
-        if not self.directory.is_reachable(cell.name) or left < MIN_GRANT_RATIO * link.granted_s:
+        remaining_s = link.granted_until - self.ctx.wall_time
+        if (
+            not self.directory.is_reachable(cell.name)
+            or remaining_s < MIN_GRANT_RATIO * link.granted_s
+        ):
             return  # the grant is renewed first; or the offer runs out
-        if left <= 0:
+        if remaining_s <= 0:
             return
         change = edits.grant_job(cell.name, handle, self.ctx.wall_time)
         if self.port.change_job(name, change, f"cell{handle.epoch}"):
@@ -168,39 +181,41 @@
     def _return_job(
         self,
         name: JobId,
-        away: Delegation,
+        delegation: Delegation,
         handle: Handle,
-        why: str,
-        told: GuestState | None = None,
+        reason: str,
+        guest_state: GuestState | None = None,
     ) -> None:
-        change = edits.return_job(away.guest_cell, handle, self.ctx.wall_time, why, told)
-        if self.port.change_job(name, change, f"cell{away.epoch}"):
+        change = edits.return_job(
+            delegation.guest_cell, handle, self.ctx.wall_time, reason, guest_state
+        )
+        if self.port.change_job(name, change, f"cell{delegation.epoch}"):
             self.counts["returned"] += 1
-            self.decisions.record(HandoverStep.TAKE_BACK, away.guest_cell, handle, why)
+            self.decisions.record(HandoverStep.TAKE_BACK, delegation.guest_cell, handle, reason)
 
     def _withdraw_if_stuck(
-        self, name: JobId, job: JobRecord, away: Delegation, handle: Handle
+        self, name: JobId, job: JobRecord, delegation: Delegation, handle: Handle
     ) -> None:
         """Room that was promised has not come to be: the job may do better at home."""
-        granted_s = self.ctx.wall_time - away.stage_started_at
+        granted_s = self.ctx.wall_time - delegation.stage_started_at
         limits = self.config.spill
         if granted_s > limits.start_s:
-            why = f"nothing of it ran there in {limits.start_s:.0f} s"
+            reason = f"nothing of it ran there in {limits.start_s:.0f} s"
         elif (
             granted_s > START_CHECK_DELAY_S
-            and self._expected_guest_wait_s(job, away) > limits.start_s
+            and self._expected_guest_wait_s(job, delegation) > limits.start_s
         ):
-            why = "its room there is gone"
+            reason = "its room there is gone"
         else:
             return
-        change = edits.withdraw_job(away.guest_cell, handle, self.ctx.wall_time, why)
-        if self.port.change_job(name, change, f"cell{away.epoch}"):
-            self.decisions.record(HandoverStep.WITHDRAW, away.guest_cell, handle, why)
+        change = edits.withdraw_job(delegation.guest_cell, handle, self.ctx.wall_time, reason)
+        if self.port.change_job(name, change, f"cell{delegation.epoch}"):
+            self.decisions.record(HandoverStep.WITHDRAW, delegation.guest_cell, handle, reason)
 
-    def _expected_guest_wait_s(self, job: JobRecord, away: Delegation) -> float:
+    def _expected_guest_wait_s(self, job: JobRecord, delegation: Delegation) -> float:
         """The wait that the guest cell's pools tell for a job that is in their queue."""
-        cell = self.directory.cells.get(away.guest_cell)
-        if cell is None or not self.directory.is_reachable(away.guest_cell):
+        cell = self.directory.cells.get(delegation.guest_cell)
+        if cell is None or not self.directory.is_reachable(delegation.guest_cell):
             return 0.0
         expected = PoolEstimator(cell.pools).find_shortest_wait(job.spec, 1)
         return expected.wait_s if expected else 0.0
@@ -217,12 +232,12 @@
         seen = self.seen_grants.get(cell)
         if link is None or seen is None or not link.granted_until:
             return True  # never was anything granted
-        skew = SKEWED_CLOCK_COUNT * self.ctx.settings.params.skew_ms / 1000.0
-        margin = skew + EXPIRY_MARGIN_S
-        if self.ctx.wall_time < link.granted_until + link.granted_lease_s + margin:
+        skew_s = SKEWED_CLOCK_COUNT * self.ctx.settings.params.skew_ms / 1000.0
+        margin_s = skew_s + EXPIRY_MARGIN_S
+        if self.ctx.wall_time < link.granted_until + link.granted_lease_s + margin_s:
             return False
-        span = (link.granted_s + link.granted_lease_s) * CLOCK_DRIFT + margin
-        return self.ctx.now - seen.seen_at > span
+        span_s = (link.granted_s + link.granted_lease_s) * CLOCK_DRIFT + margin_s
+        return self.ctx.now - seen.seen_at > span_s
 
     def _renew_grant(self, cell: RemoteCell) -> None:
         """Extend the grant to a cell that hears us and has work of ours.
@@ -244,13 +259,13 @@
         is_held = any(stage != DelegationStage.OFFERED for stage in stages)
         if is_held and frame.held_until < link.granted_until:
             return
-        span = self._grant_span_s(frame)
+        span_s = self._grant_span_s(frame)
         # From the moment up to which our records show every cancellation: what was confirmed
         # after it is younger than the grant.
-        base = self.ctx.wall_time - max(0.0, self.ctx.now - self.ctx.watch_ok_at)
-        if span <= 0 or link.granted_until - base > RENEW_BELOW_RATIO * span:
+        current_at = self.ctx.wall_time - max(0.0, self.ctx.now - self.ctx.watch_ok_at)
+        if span_s <= 0 or link.granted_until - current_at > RENEW_BELOW_RATIO * span_s:
             return
-        change = edits.extend_grant(base + span, span, frame.lease_s)
+        change = edits.extend_grant(current_at + span_s, span_s, frame.lease_s)
         self.port.change_link(cell.name, change, "granted")
 
     def _grant_span_s(self, frame: Frame) -> float:
@@ -258,18 +273,22 @@
         return min(self.config.grant_s, max_grant_s(self.ctx.settings, frame.lease_s))
 
     def _jobs_delegated_to(self, cell: str) -> dict[JobId, JobRecord]:
-        away = self.view.delegated_jobs.items()
+        delegation = self.view.delegated_jobs.items()
         return {
-            name: job for name, job in away if job.delegation and job.delegation.guest_cell == cell
+            name: job
+            for name, job in delegation
+            if job.delegation and job.delegation.guest_cell == cell
         }
 
     # Offers
 
     def _offer_jobs(self) -> None:
         queue = self.port.read_queue()
-        for wait in queue.waiting_jobs:
-            if wait.job.guest is None:
-                self.waits.record_estimate(wait.name, self.ctx.wall_time, wait.expected_wait_s)
+        for waiting_job in queue.waiting_jobs:
+            if waiting_job.job.guest is None:
+                self.waits.record_estimate(
+                    waiting_job.name, self.ctx.wall_time, waiting_job.expected_wait_s
+                )
         targets = self._find_targets()
         if not targets:
             return
@@ -291,8 +310,8 @@
                 for job in self._jobs_delegated_to(cell.name).values()
                 if job.delegation
             ]
-            open_offers = sum(stage == DelegationStage.OFFERED for stage in stages)
-            room = min(limits.offers - open_offers, limits.jobs - len(stages))
+            open_offer_count = sum(stage == DelegationStage.OFFERED for stage in stages)
+            room = min(limits.offers - open_offer_count, limits.jobs - len(stages))
             if room > 0 and self._grant_span_s(frame) > 0:
                 pools = PoolEstimator(cell.pools)
                 found[cell.name] = SpillTarget(pools, room)
@@ -315,55 +334,69 @@
         quota = self.port.new_quota_tracker()
         placed = self.port.list_jobs_being_placed()
         found: list[SpillCandidate] = []
-        for wait in waiting:
-            spec = wait.job.spec
+        for waiting_job in waiting:
+            spec = waiting_job.job.spec
             if (
-                wait.name in placed
-                or not self._may_move(wait)
-                or not quota.fits_limit(spec, wait.task_count)
+                waiting_job.name in placed
+                or not self._may_move(waiting_job)
+                or not quota.fits_limit(spec, waiting_job.task_count)
             ):
                 continue
-            quota.add_usage(spec, wait.task_count)
+            quota.add_usage(spec, waiting_job.task_count)
             best = pools.find_shortest_wait(spec, 1)
-            price = pools.states[best.pool_index].price_per_slot_s if best else 0.0
-            due = None
+            price_per_slot_s = pools.states[best.pool_index].price_per_slot_s if best else 0.0
+            deadline_in_s = None
             if spec.deadline_s is not None:
-                due = wait.job.accepted_at + spec.deadline_s - self.ctx.wall_time
-            here_s = wait.expected_wait_s * self.waits.correction_factor
-            run_s, avoid = self.port.mean_run_s(spec), self._recently_left_cell(wait.job)
+                deadline_in_s = waiting_job.job.accepted_at + spec.deadline_s - self.ctx.wall_time
+            home_wait_s = waiting_job.expected_wait_s * self.waits.correction_factor
+            run_s, excluded_cell = (
+                self.port.mean_run_s(spec),
+                self._recently_left_cell(waiting_job.job),
+            )
             found.append(
-                SpillCandidate(wait.name, spec, wait.task_count, here_s, run_s, price, due, avoid)
+                SpillCandidate(
+                    waiting_job.name,
+                    spec,
+                    waiting_job.task_count,
+                    home_wait_s,
+                    run_s,
+                    price_per_slot_s,
+                    deadline_in_s,
+                    excluded_cell,
+                )
             )
         return found
 
-    def _may_move(self, wait: WaitingJob) -> bool:
-        job = wait.job
+    def _may_move(self, waiting_job: WaitingJob) -> bool:
+        job = waiting_job.job
         if job.guest is not None or job.entries or job.spec.kind == "standing":
             return False
-        if wait.age_s < self.config.spill.after_s or len(job.done_ranges) > MAX_DONE_RANGES:
+        if waiting_job.age_s < self.config.spill.after_s or len(job.done_ranges) > MAX_DONE_RANGES:
             return False
-        return wait.name in self.view.waiting_jobs and not self.port.has_pending_change(wait.name)
+        return waiting_job.name in self.view.waiting_jobs and not self.port.has_pending_change(
+            waiting_job.name
+        )
 
     def _recently_left_cell(self, job: JobRecord) -> str:
         """The cell that the job came back from a moment ago."""
-        away = job.delegation
+        delegation = job.delegation
         if (
-            away is None
-            or self.ctx.wall_time - away.stage_started_at >= self.config.spill.return_pause_s
+            delegation is None
+            or self.ctx.wall_time - delegation.stage_started_at >= self.config.spill.return_pause_s
         ):
             return ""
-        return away.guest_cell
+        return delegation.guest_cell
 
     def _offer_job(self, choice: SpillChoice) -> None:
         job = self.view.jobs[choice.name]
         epoch = (job.delegation.epoch if job.delegation else 0) + 1
-        away = Delegation(
+        delegation = Delegation(
             choice.cell, epoch, DelegationStage.OFFERED, self.ctx.wall_time,
             expected_home_s=round(choice.home_wait_s, 1),
             expected_guest_s=round(choice.remote_wait_s, 1),
             why=choice.reason,
         )  # fmt: skip
-        change = edits.offer_job(away, self.view.eligible_at(choice.name, job))
+        change = edits.offer_job(delegation, self.view.eligible_at(choice.name, job))
         if self.port.change_job(choice.name, change, f"cell{epoch}"):
             self.counts["offered"] += 1
             waits = (
@@ -382,11 +415,11 @@
         grants: list[Handle] = []
         revoked: list[Handle] = []
         for name, job in self._jobs_delegated_to(cell.name).items():
-            away = job.delegation
-            if away is None:
+            delegation = job.delegation
+            if delegation is None:
                 continue
-            handle = Handle(name, away.epoch, away.reservation)
-            if away.stage == DelegationStage.OFFERED:
+            handle = Handle(name, delegation.epoch, delegation.reservation)
+            if delegation.stage == DelegationStage.OFFERED:
                 offers.append(
                     Offer(
                         handle,
@@ -394,10 +427,10 @@
                         job.accepted_at,
                         job.attempt,
                         job.done_ranges,
-                        away.expected_home_s,
+                        delegation.expected_home_s,
                     )
                 )
-            elif away.stage == DelegationStage.WITHDRAWN or job.status != records.LIVE:
+            elif delegation.stage == DelegationStage.WITHDRAWN or job.status != records.LIVE:
                 revoked.append(handle)
             else:
                 grants.append(handle)
@@ -427,7 +460,10 @@
 
     def _is_current(self, cell: str, handle: Handle) -> bool:
         job = self.view.delegated_jobs.get(handle.job)
-        away = job.delegation if job else None
-        if away is None or (away.guest_cell, away.epoch) != (cell, handle.epoch):
+        delegation = job.delegation if job else None
+        if delegation is None or (delegation.guest_cell, delegation.epoch) != (cell, handle.epoch):
             return False
-        return away.stage == DelegationStage.OFFERED or away.reservation == handle.reservation
+        return (
+            delegation.stage == DelegationStage.OFFERED
+            or delegation.reservation == handle.reservation
+        )
--- a/coursefold/cells/messages.py
+++ b/coursefold/cells/messages.py
@@ -121,30 +121,30 @@
 
 def encode_frame(frame: Frame) -> bytes:
     """A frame's bytes."""
-    out = cell_pb2.CellFrame(
+    message = cell_pb2.CellFrame(
         version=VERSION, cell=frame.cell, member=frame.member, token=frame.fencing_token,
         seq=frame.sequence, sent_at=frame.sent_at, lease_s=frame.lease_s, cancel_s=frame.cancel_s,
         draining=frame.draining, until=frame.granted_until, grant_s=frame.grant_s,
         held_until=frame.held_until, waits=frame.wait_histogram,
     )  # fmt: skip
     for offer in frame.offers:
-        out.offers.add(
+        message.offers.add(
             handle=_encode_handle(offer.handle), spec=encode(offer.spec), at=offer.accepted_at,
             attempt=offer.attempt, done=_encode_ranges(offer.done_ranges),
             expected_s=offer.expected_wait_s,
         )  # fmt: skip
-    out.grants.extend(map(_encode_handle, frame.grants))
-    out.revoked.extend(map(_encode_handle, frame.revoked))
-    out.closed.extend(map(_encode_handle, frame.closed))
+    message.grants.extend(map(_encode_handle, frame.grants))
+    message.revoked.extend(map(_encode_handle, frame.revoked))
+    message.closed.extend(map(_encode_handle, frame.closed))
     for guest in frame.guests:
-        out.guests.add(
+        message.guests.add(
             handle=_encode_handle(guest.handle), stage=guest.stage, running=guest.running_count,
             done=_encode_ranges(guest.done_ranges), attempt=guest.attempt,
         )  # fmt: skip
     for refusal in frame.refusals:
-        out.refusals.add(handle=_encode_handle(refusal.handle), why=refusal.reason)
-    out.pools.extend(map(_encode_pool, frame.pools))
-    return out.SerializeToString()
+        message.refusals.add(handle=_encode_handle(refusal.handle), why=refusal.reason)
+    message.pools.extend(map(_encode_pool, frame.pools))
+    return message.SerializeToString()
 
 
 def _check_number(value: float, name: str, maximum: float = 1e12) -> float:
@@ -176,12 +176,12 @@
 def _decode_ranges(items: "list[cell_pb2.Range]", job: JobId, tasks: int) -> TaskRanges:
     """Ranges in order and apart, within the job's tasks."""
     found: TaskRanges = []
-    after = -1
+    next_free = -1
     for item in items:
-        if not after < item.low <= item.high < tasks:
+        if not next_free < item.low <= item.high < tasks:
             raise InvalidFrameError(f"done tasks of {job} from {item.low} to {item.high}")
         found.append((item.low, item.high))
-        after = item.high + 1
+        next_free = item.high + 1
     return found
 
 
@@ -243,34 +243,41 @@
 def decode_frame(raw: bytes) -> Frame:
     """A frame, or BadFrameError for what no cell of ours sends."""
     try:
-        body = cell_pb2.CellFrame.FromString(raw)
+        message = cell_pb2.CellFrame.FromString(raw)
     except DecodeError:
         raise InvalidFrameError(f"{len(raw)} bytes are not readable") from None
-    if body.version != VERSION:
-        raise InvalidFrameError(f"version {body.version}")
-    lists = (body.offers, body.grants, body.revoked, body.closed, body.guests, body.refusals)
+    if message.version != VERSION:
+        raise InvalidFrameError(f"version {message.version}")
+    lists = (
+        message.offers,
+        message.grants,
+        message.revoked,
+        message.closed,
+        message.guests,
+        message.refusals,
+    )
     if any(len(items) > MAX_LIST_ITEMS for items in lists):
         raise InvalidFrameError("a list is too long")
     return Frame(
-        cell=body.cell,
-        member=body.member,
-        fencing_token=body.token,
-        sequence=body.seq,
-        sent_at=_check_number(body.sent_at, "sent_at"),
-        lease_s=_check_number(body.lease_s, "lease_s", MAX_DURATION_S),
-        cancel_s=_check_number(body.cancel_s, "cancel_s", MAX_DURATION_S),
-        draining=body.draining,
-        granted_until=_check_number(body.until, "until"),
-        grant_s=_check_number(body.grant_s, "grant_s", MAX_DURATION_S),
-        offers=tuple(map(_decode_offer, body.offers)),
-        grants=tuple(map(_decode_reserved_handle, body.grants)),
-        revoked=tuple(map(_decode_reserved_handle, body.revoked)),
-        closed=tuple(map(_decode_reserved_handle, body.closed)),
-        held_until=_check_number(body.held_until, "held_until"),
-        guests=tuple(map(_decode_guest_state, body.guests)),
+        cell=message.cell,
+        member=message.member,
+        fencing_token=message.token,
+        sequence=message.seq,
+        sent_at=_check_number(message.sent_at, "sent_at"),
+        lease_s=_check_number(message.lease_s, "lease_s", MAX_DURATION_S),
+        cancel_s=_check_number(message.cancel_s, "cancel_s", MAX_DURATION_S),
+        draining=message.draining,
+        granted_until=_check_number(message.until, "until"),
+        grant_s=_check_number(message.grant_s, "grant_s", MAX_DURATION_S),
+        offers=tuple(map(_decode_offer, message.offers)),
+        grants=tuple(map(_decode_reserved_handle, message.grants)),
+        revoked=tuple(map(_decode_reserved_handle, message.revoked)),
+        closed=tuple(map(_decode_reserved_handle, message.closed)),
+        held_until=_check_number(message.held_until, "held_until"),
+        guests=tuple(map(_decode_guest_state, message.guests)),
         refusals=tuple(
-            Refusal(_decode_handle(r.handle), r.why[:MAX_TEXT_CHARS]) for r in body.refusals
+            Refusal(_decode_handle(r.handle), r.why[:MAX_TEXT_CHARS]) for r in message.refusals
         ),
-        pools=tuple(map(_decode_pool, body.pools)),
-        wait_histogram=body.waits,
+        pools=tuple(map(_decode_pool, message.pools)),
+        wait_histogram=message.waits,
     )
--- a/coursefold/cells/policy.py
+++ b/coursefold/cells/policy.py
@@ -54,12 +54,12 @@
 ) -> float:
     """What moving costs, in seconds of wait."""
     pool = pools.states[pool_index]
-    dearer = max(0.0, pool.price_per_slot_s - candidate.price_per_slot_s)
+    extra_price = max(0.0, pool.price_per_slot_s - candidate.price_per_slot_s)
     slot_seconds = candidate.run_s * slots_of_task(candidate.spec, pool.type_info)
     return (
         HANDOVER_DELAY_S
         + image_fetch_s(candidate.spec, pool)
-        + (1 - eta) / eta * dearer * slot_seconds
+        + (1 - eta) / eta * extra_price * slot_seconds
     )
 
 
@@ -79,12 +79,12 @@
     """Why the job is moved; empty if it is not."""
     if gain_s > limits.min_gain_s:
         return f"saves {gain_s:.0f} s"
-    due = candidate.deadline_in_s
-    if due is None or gain_s <= 0:
+    deadline_in_s = candidate.deadline_in_s
+    if deadline_in_s is None or gain_s <= 0:
         return ""
-    late_here = candidate.home_wait_s + candidate.run_s > due
-    late_there = remote_wait_s + HANDOVER_DELAY_S + candidate.run_s > due
-    return "its deadline would be missed here" if late_here and not late_there else ""
+    is_late_here = candidate.home_wait_s + candidate.run_s > deadline_in_s
+    is_late_there = remote_wait_s + HANDOVER_DELAY_S + candidate.run_s > deadline_in_s
+    return "its deadline would be missed here" if is_late_here and not is_late_there else ""
 
 
 def choose_moves(
@@ -94,25 +94,25 @@
     eta: float,
 ) -> list[SpillChoice]:
     """Which jobs to offer now, the longest waits first; each fills its target's pools."""
-    room = {name: target.max_offers for name, target in targets.items()}
-    longest = sorted(candidates, key=lambda c: (-c.home_wait_s, c.name))[:MAX_CANDIDATES]
+    remaining_offers = {name: target.max_offers for name, target in targets.items()}
+    by_wait = sorted(candidates, key=lambda c: (-c.home_wait_s, c.name))[:MAX_CANDIDATES]
     found: list[SpillChoice] = []
-    for candidate in longest:
+    for candidate in by_wait:
         best: tuple[float, str, ExpectedWait] | None = None
         for cell, target in targets.items():
-            if room[cell] <= 0 or cell == candidate.excluded_cell:
+            if remaining_offers[cell] <= 0 or cell == candidate.excluded_cell:
                 continue
             gain = _compute_gain(candidate, target, eta)
             if gain is not None and (best is None or gain[0] > best[0]):
                 best = (gain[0], cell, gain[1])
         if best is None:
             continue
-        gained, cell, there = best
-        why = _find_spill_reason(candidate, gained, there.wait_s, limits)
+        gain_s, cell, expected = best
+        why = _find_spill_reason(candidate, gain_s, expected.wait_s, limits)
         if why:
-            targets[cell].pools.add_load(there.pool_index, candidate.spec, candidate.task_count)
-            room[cell] -= 1
+            targets[cell].pools.add_load(expected.pool_index, candidate.spec, candidate.task_count)
+            remaining_offers[cell] -= 1
             found.append(
-                SpillChoice(candidate.name, cell, candidate.home_wait_s, there.wait_s, why)
+                SpillChoice(candidate.name, cell, candidate.home_wait_s, expected.wait_s, why)
             )
     return found
--- a/coursefold/cells/port.py
+++ b/coursefold/cells/port.py
@@ -82,13 +82,15 @@
         """Spread what waits over the pools in queue order: each job behind those before it."""
         pools = PoolEstimator(self._pool_states())
         waiting: list[WaitingJob] = []
-        for wait in self.core.leader.list_queued_jobs(self.new_quota_tracker()):
-            tasks = wait.job.waiting_count
-            expected = pools.find_shortest_wait(wait.job.spec, tasks)
+        for queued in self.core.leader.list_queued_jobs(self.new_quota_tracker()):
+            tasks = queued.job.waiting_count
+            expected = pools.find_shortest_wait(queued.job.spec, tasks)
             if expected is None:
                 continue
-            pools.add_load(expected.pool_index, wait.job.spec, tasks)
-            waiting.append(WaitingJob(wait.name, wait.job, tasks, wait.age_s, expected.wait_s))
+            pools.add_load(expected.pool_index, queued.job.spec, tasks)
+            waiting.append(
+                WaitingJob(queued.name, queued.job, tasks, queued.age_s, expected.wait_s)
+            )
         demands = self.core.fleet.pool_control.demands.values()
         return QueueState(
             waiting, pools, [float(d.machine_count * d.slots_per_machine) for d in demands]
@@ -97,14 +99,14 @@
     def _pool_states(self) -> Iterable[PoolState]:
         fleet = self.core.fleet
         for pool, demand in fleet.pool_control.demands.items():
-            places = (
+            offerings = (
                 MachineOffering(pool.machine_type, zone, pool.spot)
                 for zone in demand.type_info.zones
             )
             # Not those that are blocked just now: a place that refused is asked again and
             # again, and counts as full until the cloud has filled a whole request there.
-            grows = any(place not in fleet.rentals.refusal_counts for place in places)
-            yield compute_pool_state(demand, MAX_GROWTH_SLOTS if grows else 0.0)
+            can_grow = any(offering not in fleet.rentals.refusal_counts for offering in offerings)
+            yield compute_pool_state(demand, MAX_GROWTH_SLOTS if can_grow else 0.0)
 
     def has_spare_write_rate(self) -> bool:
         """Is there room to write what is never urgent?"""
--- a/coursefold/cells/waits.py
+++ b/coursefold/cells/waits.py
@@ -51,25 +51,29 @@
         if now - self.checked_at < CHECK_INTERVAL_S:
             return
         self.checked_at = now
-        for name, expected in list(self.estimates.items()):
+        for name, estimate in list(self.estimates.items()):
             job = self.view.jobs.get(name)
             if job is not None and not _has_started(job) and not job.is_delegated:
                 continue
             del self.estimates[name]
             if job is None or job.status != records.LIVE or job.is_delegated:
                 continue  # it ended unseen, was cancelled, or waits elsewhere
-            waited = max(0.0, wall_time - expected.eligible_at)
-            record_seconds(self.histogram, waited)
-            self.samples.append((max(0.0, wall_time - expected.estimated_at), expected.expected_s))
+            waited_s = max(0.0, wall_time - estimate.eligible_at)
+            record_seconds(self.histogram, waited_s)
+            self.samples.append((max(0.0, wall_time - estimate.estimated_at), estimate.expected_s))
 
     @property
     def correction_factor(self) -> float:
         """Measured waits over expected ones; 1 until enough jobs have started."""
         if len(self.samples) < MIN_SAMPLES:
             return 1.0
-        measured = RATIO_OFFSET_S + sum(waited for waited, _ in self.samples) / len(self.samples)
-        modelled = RATIO_OFFSET_S + sum(seconds for _, seconds in self.samples) / len(self.samples)
-        return min(MAX_CORRECTION_FACTOR, max(MIN_CORRECTION_FACTOR, measured / modelled))
+        measured_s = RATIO_OFFSET_S + sum(waited_s for waited_s, _ in self.samples) / len(
+            self.samples
+        )
+        modelled_s = RATIO_OFFSET_S + sum(seconds for _, seconds in self.samples) / len(
+            self.samples
+        )
+        return min(MAX_CORRECTION_FACTOR, max(MIN_CORRECTION_FACTOR, measured_s / modelled_s))
 
     def encode_histogram(self) -> bytes:
         """The histogram for other cells; empty while it is."""
--- a/tests/test_cells_input.py
+++ b/tests/test_cells_input.py
@@ -157,17 +157,17 @@
     offer = Offer(HANDLE._replace(reservation=""), spec(Pieces=9), EPOCH, 3, [(0, 1), (4, 4)], 60.0)
     guest = GuestState(HANDLE, GuestStage.RELEASED, 0, [(0, 3)], 7)
     return frame(
-        until=EPOCH + 12.0, grant_s=12.0, offers=(offer,), grants=(HANDLE,), revoked=(HANDLE,),
-        closed=(HANDLE,), held_until=EPOCH, guests=(guest,),
+        granted_until=EPOCH + 12.0, grant_s=12.0, offers=(offer,), grants=(HANDLE,),
+        revoked=(HANDLE,), closed=(HANDLE,), held_until=EPOCH, guests=(guest,),
         refusals=(Refusal(HANDLE._replace(reservation=""), "full"),),
-        pools=(pool(),), waits=b"", draining=True,
+        pools=(pool(),), wait_histogram=b"", draining=True,
     )  # fmt: skip
 
 
 def test_a_frame_is_read_as_it_was_written() -> None:
     read = decode_frame(encode_frame(full_frame()))
     kept = msgspec.structs.replace(KIND, price_per_hour=0.0, spot_price_per_hour=0.0, cache_gb=0.0)
-    assert read == full_frame()._replace(pools=(pool(kind=kept),))
+    assert read == full_frame()._replace(pools=(pool(type_info=kept),))
 
 
 def broken(change: Any) -> bytes:
@@ -262,9 +262,12 @@
 def test_late_and_repeated_frames_are_known_by_their_numbers() -> None:
     found = directory()
     for token, seq, taken in ((5, 7, True), (5, 7, False), (5, 6, False), (4, 99, False)):
-        raw = encode_frame(frame(token=token, seq=seq))
+        raw = encode_frame(frame(fencing_token=token, sequence=seq))
         assert (found.receive_frame(raw, "127.0.1.1") is not None) is taken
-    assert found.receive_frame(encode_frame(frame(token=6, seq=1)), "127.0.1.1") is not None
+    assert (
+        found.receive_frame(encode_frame(frame(fencing_token=6, sequence=1)), "127.0.1.1")
+        is not None
+    )
 
 
 def test_frames_go_to_the_leader_and_to_all_while_none_is_known() -> None:
@@ -524,7 +527,7 @@
     assert records.job_key(NAME) in cells.core.view.unreadable_keys
     assert words(cells) == []
     state = GuestState(HANDLE, GuestStage.FINISHED, 0, [], 0)
-    raw = encode_frame(frame(seq=2, sent_at=cells.core.ctx.wall_time, guests=(state,)))
+    raw = encode_frame(frame(sequence=2, sent_at=cells.core.ctx.wall_time, guests=(state,)))
     cell = cells.directory.receive_frame(raw, "127.0.1.1")
     assert cell is not None
     assert cells.home.add_home_part(frame(), cell).closed == ()
@@ -571,7 +574,7 @@
 
 def hears(cells: Cells, seq: int, **fields: Any) -> None:
     """A frame of east, and what the leader makes of it."""
-    raw = encode_frame(frame(seq=seq, sent_at=cells.core.ctx.wall_time, **fields))
+    raw = encode_frame(frame(sequence=seq, sent_at=cells.core.ctx.wall_time, **fields))
     assert cells.directory.receive_frame(raw, "127.0.1.1") is not None
     cells.guest.tick()
 
@@ -585,30 +588,30 @@
     """Else a cancellation that home leaves out would outlive what was planned for it."""
     cells = guest_world(GuestStage.GRANTED, 5.0)
     later = cells.core.ctx.wall_time + 12.0
-    hears(cells, 1, until=later)
+    hears(cells, 1, granted_until=later)
     assert waits_for_writing(cells) == {f"j/{NAME}"}
     stopped = guest_job(GuestStage.RELEASED, status=records.CANCELLED)
     cells.core.view.store_record(records.job_key(NAME), stopped, 10**6 + 1)
-    hears(cells, 2, until=later)
+    hears(cells, 2, granted_until=later)
     assert "c/east" in waits_for_writing(cells)
 
 
 def test_a_reservation_that_is_not_listed_goes_before_a_longer_grant() -> None:
     """A grant of it may still be under way, and must then find nothing."""
     cells = guest_world(GuestStage.RESERVED, 5.0)
-    hears(cells, 1, until=cells.core.ctx.wall_time + 12.0)
+    hears(cells, 1, granted_until=cells.core.ctx.wall_time + 12.0)
     assert waits_for_writing(cells) == {f"j/{NAME}"}
 
 
 def test_a_grant_is_accepted_only_once_its_end_is_recorded() -> None:
     cells = guest_world(GuestStage.RESERVED, -1.0)
     until = cells.core.ctx.wall_time + 12.0
-    hears(cells, 1, until=until, grants=(HANDLE,))
+    hears(cells, 1, granted_until=until, grants=(HANDLE,))
     assert waits_for_writing(cells) == {"c/east"}
     link = CellLink(held_until=until, held_s=12.0)
     cells.core.view.store_record("cf/c/east", link, 10**6 + 1)
     cells.core.set_time(cells.core.ctx.now, cells.core.ctx.wall_time)
-    hears(cells, 2, until=until, grants=(HANDLE,))
+    hears(cells, 2, granted_until=until, grants=(HANDLE,))
     assert f"j/{NAME}" in waits_for_writing(cells)
 
 
@@ -718,27 +721,29 @@
 def test_a_job_moves_only_for_more_than_the_move_costs() -> None:
     assert chosen(candidate(), pool())
     # Three seconds for the handover, ten for the image, and twenty that operators ask for.
-    assert chosen(candidate(here_s=33.5), pool())
-    assert not chosen(candidate(here_s=32.5), pool())
-    assert not chosen(candidate(), pool(free=0.0, drain=0.0))
+    assert chosen(candidate(home_wait_s=33.5), pool())
+    assert not chosen(candidate(home_wait_s=32.5), pool())
+    assert not chosen(candidate(), pool(free_slots=0.0, freed_slots_per_s=0.0))
     assert not chosen(candidate(), pool(), room=0)
 
 
 def test_a_dearer_slot_has_to_be_worth_it() -> None:
-    dear = pool(price=0.0017)
+    dear = pool(price_per_slot_s=0.0017)
     assert move_cost_s(candidate(), PoolEstimator([dear]), 0, 0.0005) == pytest.approx(
         13 + 120, rel=0.01
     )
     assert not chosen(candidate(), dear)
-    assert chosen(candidate(here_s=160.0), dear)
+    assert chosen(candidate(home_wait_s=160.0), dear)
 
 
 def test_a_deadline_that_is_missed_here_and_met_there_decides() -> None:
-    short = candidate(here_s=25.0, due_in_s=80.0)
+    short = candidate(home_wait_s=25.0, deadline_in_s=80.0)
     assert chosen(short, pool()) == ["its deadline would be missed here"]
-    assert not chosen(candidate(here_s=25.0, due_in_s=200.0), pool())
-    assert not chosen(candidate(here_s=25.0, due_in_s=50.0), pool())  # missed there too
-    assert not chosen(candidate(here_s=10.0, due_in_s=65.0), pool())  # the move costs more
+    assert not chosen(candidate(home_wait_s=25.0, deadline_in_s=200.0), pool())
+    assert not chosen(candidate(home_wait_s=25.0, deadline_in_s=50.0), pool())  # missed there too
+    assert not chosen(
+        candidate(home_wait_s=10.0, deadline_in_s=65.0), pool()
+    )  # the move costs more
 
 
 @pytest.mark.parametrize(
@@ -750,22 +755,22 @@
 
 
 def test_a_job_is_not_offered_again_where_it_just_came_back_from() -> None:
-    assert not chosen(candidate(avoid="dublin"), pool())
-    assert chosen(candidate(avoid="cork"), pool())
+    assert not chosen(candidate(excluded_cell="dublin"), pool())
+    assert chosen(candidate(excluded_cell="cork"), pool())
 
 
 def test_what_is_offered_fills_the_room_that_was_told() -> None:
-    jobs = [candidate(name=JobId(f"job-{n}"), tasks=4) for n in range(9)]
-    target = {"dublin": SpillTarget(PoolEstimator([pool(drain=0.0)]), 8)}
+    jobs = [candidate(name=JobId(f"job-{n}"), task_count=4) for n in range(9)]
+    target = {"dublin": SpillTarget(PoolEstimator([pool(freed_slots_per_s=0.0)]), 8)}
     assert len(choose_moves(jobs, target, config().spill, 0.0005)) == 2  # ten slots, four each
 
 
 def test_expected_waits() -> None:
     one = spec(Accelerators=2.0)
     assert estimate_wait_s(one, 4, pool()) == 0.0
-    assert estimate_wait_s(one, 4, pool(free=2.0)) == pytest.approx(12.0)
-    assert estimate_wait_s(one, 4, pool(free=0.0, ahead=10.0)) == pytest.approx(36.0)
-    booting = pool(free=0.0, ahead=10.0, growth=100.0)
+    assert estimate_wait_s(one, 4, pool(free_slots=2.0)) == pytest.approx(12.0)
+    assert estimate_wait_s(one, 4, pool(free_slots=0.0, queued_slots=10.0)) == pytest.approx(36.0)
+    booting = pool(free_slots=0.0, queued_slots=10.0, growth_slots=100.0)
     assert estimate_wait_s(one, 4, booting) == pytest.approx(26.0)
     assert estimate_wait_s(one, 4, booting._replace(growth_slots=10.0)) == pytest.approx(36.0)
 
