--- a/coursefold/shares/planner.py
+++ b/coursefold/shares/planner.py
@@ -167,7 +167,7 @@
             self.outcomes["withdrawn"] += 1
         self.paused_until[machine] = MonotonicTime(port.ctx.now + self.limits.retry_s)
 
-    # The plan
+    # Planning
 
     def find_effective_shares(self) -> EffectiveShares:
         """Return the rules of the open window and the file, overridden by operators' requests."""
--- a/coursefold/shares/targets.py
+++ b/coursefold/shares/targets.py
@@ -103,7 +103,7 @@
     tolerance: int,
     max_owned: Mapping[str, int],
 ) -> list[Transfer]:
-    """Return the fewest transfers of machines that meet all targets, as far as they can be met.
+    """Return transfers that meet the targets, as far as possible, with the fewest moves.
 
     A controller that is off its target by more than the tolerance takes or gives machines until
     it meets the target. The other side of each transfer is a controller that is off its target
