--- a/coursefold/policy/language.py
+++ b/coursefold/policy/language.py
@@ -1,4 +1,6 @@
-"""The policy language: grammar, checker, and messages that name line and column.
+"""The policy language: grammar and type checker; errors name line and column.
+
+An example of a policy:
 
 set eta = 0.0005
 set idle = 30 s
@@ -15,16 +17,16 @@
 from lark.exceptions import UnexpectedInput
 
 from coursefold.policy.model import (
-    DEFAULTS,
+    DEFAULT_PARAMETERS,
     Binary,
-    Expr,
+    Expression,
     Literal,
-    Name,
     Negative,
     Not,
     Parameters,
     Policy,
     Rule,
+    Variable,
 )
 
 GRAMMAR = r"""
@@ -61,22 +63,24 @@
 %ignore COMMENT
 """
 
-NAMES = {
+# Variables that conditions may use, and their types.
+VARIABLE_TYPES = {
     "lambda": "number",  # arrivals per second, in slots
-    "mu": "number",  # one over the mean run time
-    "c": "number",  # slots of the pool
-    "cstar": "number",
-    "busy": "number",
-    "queue": "number",  # slots' worth of waiting tasks
-    "machines": "number",
+    "mu": "number",  # 1 / mean run time in seconds
+    "c": "number",  # slots of the pool now
+    "cstar": "number",  # target size of the pool in slots
+    "busy": "number",  # slots in use
+    "queue": "number",  # slots that the waiting tasks need
+    "machines": "number",  # machines of the pool
     "price": "number",  # per slot and hour
     "losses": "number",  # machines lost per hour
-    "idle": "duration",  # of the machine that has been empty longest
-    "spot": "truth",
-    "pool": "text",
+    "idle": "duration",  # of the machine that has been idle longest
+    "spot": "truth",  # whether the pool is of spot machines
+    "pool": "text",  # machine type and kind, such as "g2/spot"
 }
 
-BOUNDS = {
+# Minimum, maximum and type of each parameter.
+PARAMETER_BOUNDS = {
     "eta": (1e-6, 0.999999, "number"),
     "kp": (0.05, 3.0, "number"),
     "ki": (0.0, 0.5, "number"),
@@ -87,172 +91,199 @@
     "idle": (0.0, 600.0, "duration"),
 }
 
-SIZE_LIMIT = 32 * 1024
-RULES_LIMIT = 50
-NODES_LIMIT = 60
-MOST_MACHINES = 100_000  # far above any fleet: a slip of the pen, not a wish
-COUNTS = {
-    "recruit": (1, MOST_MACHINES),
-    "release": (1, MOST_MACHINES),
-    "at_least": (0, MOST_MACHINES),
-    "at_most": (0, MOST_MACHINES),
+MAX_POLICY_CHARS = 32 * 1024
+MAX_RULES = 50
+MAX_CONDITION_NODES = 60  # expressions in one condition, nested ones included
+MAX_MACHINES = 100_000  # far above the size of any fleet: a larger count is a typing error
+# Minimum and maximum of the machine count of each action.
+ACTION_BOUNDS = {
+    "recruit": (1, MAX_MACHINES),
+    "release": (1, MAX_MACHINES),
+    "at_least": (0, MAX_MACHINES),
+    "at_most": (0, MAX_MACHINES),
 }
 
 
 class PolicyError(Exception):
-    """One plain line: where, and what is wrong."""
+    """An invalid policy; the message is one line with position and fault."""
 
 
-def _at(where: Any, what: str) -> PolicyError:
-    if isinstance(where, Tree):
-        return PolicyError(f"line {where.meta.line}, column {where.meta.column}: {what}")
-    return PolicyError(f"line {where.line}, column {where.column}: {what}")
+def _error_at(position: Any, fault: str) -> PolicyError:
+    if isinstance(position, Tree):
+        return PolicyError(f"line {position.meta.line}, column {position.meta.column}: {fault}")
+    return PolicyError(f"line {position.line}, column {position.column}: {fault}")
 
 
 class _Checker:
-    """Turns a parsed tree into typed expressions, or says what does not fit."""
+    """Converts the parse tree of one condition or value into typed expressions.
+
+    Raises PolicyError where the types of operands do not match.
+    """
 
     def __init__(self) -> None:
-        self.nodes = 0
+        self.node_count = 0
 
-    def expr(self, tree: Any) -> Expr:
-        self.nodes += 1
-        if self.nodes > NODES_LIMIT:
-            raise _at(tree, f"a condition of more than {NODES_LIMIT} parts")
+    def build_expression(self, tree: Any) -> Expression:
+        self.node_count += 1
+        if self.node_count > MAX_CONDITION_NODES:
+            raise _error_at(tree, f"the condition has more than {MAX_CONDITION_NODES} parts")
         match tree.data:
             case "quantity":
-                return self._quantity(tree)
+                return self.build_quantity(tree)
             case "text":
                 return Literal("text", str(tree.children[0])[1:-1])
             case "name":
                 token = tree.children[0]
-                if str(token) not in NAMES:
-                    raise _at(token, f"unknown name {str(token)!r}")
-                return Name(NAMES[str(token)], str(token))
+                if str(token) not in VARIABLE_TYPES:
+                    raise _error_at(token, f"unknown name {str(token)!r}")
+                return Variable(VARIABLE_TYPES[str(token)], str(token))
             case "negative":
-                inner = self.expr(tree.children[1])
-                if inner.kind not in ("number", "duration"):
-                    raise _at(tree, f"a sign before a {inner.kind}")
-                return Negative(inner) if str(tree.children[0]) == "-" else inner
+                operand = self.build_expression(tree.children[1])
+                if operand.value_type not in ("number", "duration"):
+                    raise _error_at(
+                        tree,
+                        f"a sign needs a number or a duration, not a {operand.value_type}",
+                    )
+                return Negative(operand) if str(tree.children[0]) == "-" else operand
             case "negation":
-                inner = self.expr(tree.children[1])
-                if inner.kind != "truth":
-                    raise _at(tree, f"'not' before a {inner.kind}")
-                return Not(inner)
-        left = self.expr(tree.children[0])
-        for at in range(1, len(tree.children), 2):
-            token = tree.children[at]
-            left = self._binary(token, left, self.expr(tree.children[at + 1]))
+                operand = self.build_expression(tree.children[1])
+                if operand.value_type != "truth":
+                    raise _error_at(tree, f"'not' needs a truth, not a {operand.value_type}")
+                return Not(operand)
+        left = self.build_expression(tree.children[0])
+        for index in range(1, len(tree.children), 2):
+            token = tree.children[index]
+            left = self._build_binary(token, left, self.build_expression(tree.children[index + 1]))
         return left
 
     @staticmethod
-    def _quantity(tree: Any) -> Literal:
+    def build_quantity(tree: Any) -> Literal:
         number = float(tree.children[0])
         if not math.isfinite(number):
-            raise _at(tree, "a number out of range")
+            raise _error_at(tree, "the number is out of range")
         if len(tree.children) == 1:
             return Literal("number", number)
         return Literal("duration", number * (60.0 if str(tree.children[1]) == "min" else 1.0))
 
     @staticmethod
-    def _binary(token: Token, left: Expr, right: Expr) -> Binary:
-        op = str(token)
-        kinds = (left.kind, right.kind)
-        if op in ("and", "or"):
-            if kinds != ("truth", "truth"):
-                raise _at(token, f"'{op}' between a {left.kind} and a {right.kind}")
-            return Binary("truth", op, left, right)
-        if op in ("==", "!="):
-            if left.kind != right.kind:
-                raise _at(token, f"a {left.kind} is never a {right.kind}")
-            return Binary("truth", op, left, right)
-        if not set(kinds) <= {"number", "duration"}:
-            raise _at(token, f"'{op}' between a {left.kind} and a {right.kind}")
-        if op in ("<", "<=", ">", ">=", "+", "-"):
-            if left.kind != right.kind:
-                raise _at(token, f"'{op}' between a {left.kind} and a {right.kind}")
-            return Binary(left.kind if op in "+-" else "truth", op, left, right)
-        if op == "*" and kinds == ("duration", "duration"):
-            raise _at(token, "a duration times a duration")
-        if op == "/" and right.kind == "duration" and left.kind == "number":
-            raise _at(token, "a number divided by a duration")
-        kind = "number" if kinds in (("number", "number"), ("duration", "duration")) else "duration"
-        return Binary(kind, op, left, right)
+    def _build_binary(token: Token, left: Expression, right: Expression) -> Binary:
+        operator = str(token)
+        types = (left.value_type, right.value_type)
+        if operator in ("and", "or"):
+            if types != ("truth", "truth"):
+                raise _error_at(
+                    token,
+                    f"'{operator}' cannot combine a {left.value_type} and a {right.value_type}",
+                )
+            return Binary("truth", operator, left, right)
+        if operator in ("==", "!="):
+            if left.value_type != right.value_type:
+                raise _error_at(token, f"a {left.value_type} is never a {right.value_type}")
+            return Binary("truth", operator, left, right)
+        if not set(types) <= {"number", "duration"}:
+            raise _error_at(
+                token,
+                f"'{operator}' cannot combine a {left.value_type} and a {right.value_type}",
+            )
+        if operator in ("<", "<=", ">", ">=", "+", "-"):
+            if left.value_type != right.value_type:
+                raise _error_at(
+                    token,
+                    f"'{operator}' cannot combine a {left.value_type} and a {right.value_type}",
+                )
+            return Binary(left.value_type if operator in "+-" else "truth", operator, left, right)
+        if operator == "*" and types == ("duration", "duration"):
+            raise _error_at(token, "a duration cannot be multiplied by a duration")
+        if operator == "/" and right.value_type == "duration" and left.value_type == "number":
+            raise _error_at(token, "a number cannot be divided by a duration")
+        value_type = (
+            "number" if types in (("number", "number"), ("duration", "duration")) else "duration"
+        )
+        return Binary(value_type, operator, left, right)
 
 
-def _parameter(tree: Any, values: dict[str, float]) -> None:
+def _read_parameter(tree: Any, values: dict[str, float]) -> None:
     token, signed = tree.children
     name = str(token)
-    if name not in BOUNDS:
-        raise _at(token, f"unknown name {name!r}")
+    if name not in PARAMETER_BOUNDS:
+        raise _error_at(token, f"unknown name {name!r}")
     if name in values:
-        raise _at(token, f"{name} is set twice")
-    low, high, kind = BOUNDS[name]
-    quantity = _Checker()._quantity(signed.children[-1])
-    if quantity.kind != kind:
-        raise _at(signed, f"{name} is a {kind}, not a {quantity.kind}")
-    number = float(quantity.held)
+        raise _error_at(token, f"{name} is set twice")
+    low, high, value_type = PARAMETER_BOUNDS[name]
+    quantity = _Checker().build_quantity(signed.children[-1])
+    if quantity.value_type != value_type:
+        raise _error_at(signed, f"{name} is a {value_type}, not a {quantity.value_type}")
+    number = float(quantity.constant)
     if len(signed.children) == 2 and str(signed.children[0]) == "-":
         number = -number
     if not low <= number <= high:
-        raise _at(signed, f"{name} must lie between {low:g} and {high:g}")
+        raise _error_at(signed, f"{name} must lie between {low:g} and {high:g}")
     values[name] = number
 
 
-def _rule(tree: Any, seen: set[str]) -> Rule:
+def _read_rule(tree: Any, names: set[str]) -> Rule:
     name, condition, action, count = tree.children
-    if str(name) in seen:
-        raise _at(name, f"a second rule {str(name)!r}")
-    seen.add(str(name))
-    if len(seen) > RULES_LIMIT:
-        raise _at(name, f"more than {RULES_LIMIT} rules")
-    checked = _Checker().expr(condition)
-    if checked.kind != "truth":
-        raise _at(condition, f"the condition is a {checked.kind}, not a truth")
-    low, high = COUNTS[str(action)]
+    if str(name) in names:
+        raise _error_at(name, f"duplicate rule {str(name)!r}")
+    names.add(str(name))
+    if len(names) > MAX_RULES:
+        raise _error_at(name, f"the policy has more than {MAX_RULES} rules")
+    checked = _Checker().build_expression(condition)
+    if checked.value_type != "truth":
+        raise _error_at(condition, f"the condition is a {checked.value_type}, not a truth")
+    low, high = ACTION_BOUNDS[str(action)]
     if not low <= int(count) <= high:
-        raise _at(count, f"{action} takes {low} to {high}")
+        raise _error_at(count, f"{action} takes {low} to {high}")
     return Rule(str(name), checked, str(action), int(count))
 
 
-def parse(text: str) -> Policy:
-    """A policy from its text; every fault is a PolicyError with line and column."""
-    if len(text) > SIZE_LIMIT:
-        raise PolicyError(f"longer than {SIZE_LIMIT} characters")
+def parse_policy(text: str) -> Policy:
+    """Parse and check the text of a policy.
+
+    Raises:
+        PolicyError: The policy is invalid; the message names line and column, except for a
+            policy that is too long or too deeply nested.
+    """
+    if len(text) > MAX_POLICY_CHARS:
+        raise PolicyError(f"the policy is longer than {MAX_POLICY_CHARS} characters")
     parser = Lark(GRAMMAR, parser="lalr", propagate_positions=True, maybe_placeholders=False)
     try:
         tree = parser.parse(text)
-    except UnexpectedInput as wrong:
-        near = (
-            text.splitlines()[wrong.line - 1].strip()
-            if 0 < wrong.line <= text.count("\n") + 1
+    except UnexpectedInput as error:
+        line = (
+            text.splitlines()[error.line - 1].strip()
+            if 0 < error.line <= text.count("\n") + 1
             else ""
         )
         raise PolicyError(
-            f"line {wrong.line}, column {wrong.column}: not understood: {near}"
+            f"line {error.line}, column {error.column}: not understood: {line}"
         ) from None
     except RecursionError:
-        raise PolicyError("nested too deeply") from None
+        raise PolicyError("the policy is nested too deeply") from None
     values: dict[str, float] = {}
     rules: list[Rule] = []
-    seen: set[str] = set()
+    names: set[str] = set()
     for statement in tree.children:
         if not isinstance(statement, Tree):
             continue
         if statement.data == "set":
-            _parameter(statement, values)
+            _read_parameter(statement, values)
         else:
-            rules.append(_rule(statement, seen))
-    return Policy(Parameters(**(DEFAULTS._asdict() | values)), tuple(rules))
+            rules.append(_read_rule(statement, names))
+    return Policy(Parameters(**(DEFAULT_PARAMETERS._asdict() | values)), tuple(rules))
 
 
 def load(path: Path) -> Policy:
-    """Read and check a policy file."""
+    """Load and check a policy file.
+
+    Raises:
+        PolicyError: The file cannot be read, or its policy is invalid.
+    """
     try:
-        return parse(path.read_text(encoding="utf-8"))
-    except OSError as wrong:
-        raise PolicyError(f"{path}: {wrong.strerror}") from None
+        return parse_policy(path.read_text(encoding="utf-8"))
+    except OSError as error:
+        raise PolicyError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
         raise PolicyError(f"{path}: not UTF-8") from None
-    except PolicyError as wrong:
-        raise PolicyError(f"{path}: {wrong}") from None
+    except PolicyError as error:
+        raise PolicyError(f"{path}: {error}") from None
--- a/coursefold/policy/model.py
+++ b/coursefold/policy/model.py
@@ -1,18 +1,29 @@
-"""What a checked policy is, and how it is evaluated.
+"""Checked policies and their evaluation.
 
-A policy only moves pool sizes and the control loop's parameters, within bounds.
-Quotas, places and proofs do not read it, so no policy can break a rule.
+A policy changes only pool sizes and the control loop's parameters, within bounds. Quotas,
+placement and safety checks do not read it, so no policy can violate their rules.
 """
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
 Value = float | bool | str
-Env = Mapping[str, Value]
+Environment = Mapping[str, Value]
 
 
 class Parameters(NamedTuple):
-    """Of the control loop; the defaults hold without a policy."""
+    """Parameters of the control loop; the defaults hold without a policy.
+
+    Attributes:
+        eta: Weight of the waiting time against the cost, between 0 and 1.
+        kp: Proportional gain of the PID controller.
+        ki: Integral gain, per planning round.
+        kd: Derivative gain.
+        period: Seconds between two planning rounds.
+        arrivals_window: Seconds over which arrivals are averaged.
+        loss_window: Seconds over which the rate of lost machines is averaged.
+        idle: Seconds that a machine has to be idle before it may be returned.
+    """
 
     eta: float = 0.0005
     kp: float = 1.0
@@ -21,88 +32,92 @@
     period: float = 2.0
     arrivals_window: float = 150.0
     loss_window: float = 300.0
-    idle: float = 45.0  # about what renting anew would cost: a boot and a fetch
+    idle: float = 45.0  # about the time that a new rental would cost: boot and image fetch
 
 
-DEFAULTS = Parameters()
+DEFAULT_PARAMETERS = Parameters()
 
 
-class Expr:
-    """An expression; `kind` is its type: number, duration, truth or text."""
+class Expression:
+    """An expression; `value_type` is number, duration (seconds), truth (boolean) or text."""
 
-    kind: str
+    value_type: str
 
-    def value(self, env: Env) -> Value:
-        """The expression's value under these names."""
+    def evaluate(self, env: Environment) -> Value:
+        """Return the value of the expression.
+
+        Args:
+            env: Values of all variables of the language.
+        """
         raise NotImplementedError
 
 
-class Literal(Expr):
+class Literal(Expression):
     """A constant."""
 
-    def __init__(self, kind: str, held: Value) -> None:
-        self.kind, self.held = kind, held
+    def __init__(self, value_type: str, constant: Value) -> None:
+        self.value_type, self.constant = value_type, constant
 
-    def value(self, env: Env) -> Value:
-        """The expression's value under these names."""
-        return self.held
+    def evaluate(self, env: Environment) -> Value:
+        """Return the value of the expression in `env`."""
+        return self.constant
 
 
-class Name(Expr):
-    """A name of the language."""
+class Variable(Expression):
+    """A variable of the language."""
 
-    def __init__(self, kind: str, name: str) -> None:
-        self.kind, self.name = kind, name
+    def __init__(self, value_type: str, name: str) -> None:
+        self.value_type, self.name = value_type, name
 
-    def value(self, env: Env) -> Value:
-        """The expression's value under these names."""
+    def evaluate(self, env: Environment) -> Value:
+        """Return the value of the expression in `env`."""
         return env[self.name]
 
 
-class Not(Expr):
-    """A truth turned over."""
+class Not(Expression):
+    """The logical negation of a truth."""
 
-    kind = "truth"
+    value_type = "truth"
 
-    def __init__(self, inner: Expr) -> None:
-        self.inner = inner
+    def __init__(self, operand: Expression) -> None:
+        self.operand = operand
 
-    def value(self, env: Env) -> Value:
-        """The expression's value under these names."""
-        return not self.inner.value(env)
+    def evaluate(self, env: Environment) -> Value:
+        """Return the value of the expression in `env`."""
+        return not self.operand.evaluate(env)
 
 
-class Negative(Expr):
-    """A number with the other sign."""
+class Negative(Expression):
+    """The arithmetic negation of a number or a duration."""
 
-    def __init__(self, inner: Expr) -> None:
-        self.kind, self.inner = inner.kind, inner
+    def __init__(self, operand: Expression) -> None:
+        self.value_type, self.operand = operand.value_type, operand
 
-    def value(self, env: Env) -> Value:
-        """The expression's value under these names."""
-        return -float(self.inner.value(env))
+    def evaluate(self, env: Environment) -> Value:
+        """Return the value of the expression in `env`."""
+        return -float(self.operand.evaluate(env))
 
 
-class Binary(Expr):
-    """Two operands; the checker has made sure that they fit."""
+class Binary(Expression):
+    """An operator with two operands, whose types the checker has matched."""
 
-    def __init__(self, kind: str, op: str, left: Expr, right: Expr) -> None:
-        self.kind, self.op, self.left, self.right = kind, op, left, right
+    def __init__(self, value_type: str, operator: str, left: Expression, right: Expression) -> None:
+        self.value_type, self.operator, self.left, self.right = value_type, operator, left, right
 
-    def value(self, env: Env) -> Value:
-        """The expression's value under these names."""
-        left = self.left.value(env)
-        if self.op == "and":
-            return bool(left) and bool(self.right.value(env))
-        if self.op == "or":
-            return bool(left) or bool(self.right.value(env))
-        right = self.right.value(env)
-        if self.op == "==":
+    def evaluate(self, env: Environment) -> Value:
+        """Return the value of the expression in `env`."""
+        left = self.left.evaluate(env)
+        if self.operator == "and":
+            return bool(left) and bool(self.right.evaluate(env))
+        if self.operator == "or":
+            return bool(left) or bool(self.right.evaluate(env))
+        right = self.right.evaluate(env)
+        if self.operator == "==":
             return left == right
-        if self.op == "!=":
+        if self.operator == "!=":
             return left != right
         a, b = float(left), float(right)
-        match self.op:
+        match self.operator:
             case "+":
                 return a + b
             case "-":
@@ -122,44 +137,57 @@
 
 
 class Adjustment(NamedTuple):
-    """What the rules ask of one pool: machines to add, and bounds of its size."""
+    """The combined effect of the rules on one pool.
+
+    Attributes:
+        recruit: Machines to add; negative for machines to release.
+        at_least: Minimum size of the pool in machines.
+        at_most: Maximum size of the pool in machines; None for no limit.
+        active_rules: Names of the rules whose conditions hold, in the order of the file.
+    """
 
     recruit: int = 0
     at_least: int = 0
     at_most: int | None = None
-    fired: tuple[str, ...] = ()
+    active_rules: tuple[str, ...] = ()
 
 
 class Rule(NamedTuple):
-    """A condition, and what it asks for while it holds."""
+    """A condition, and the action that applies while it holds."""
 
     name: str
-    condition: Expr
+    condition: Expression
     action: str  # recruit, release, at_least, at_most
-    machines: int
+    machine_count: int
 
 
 class Policy(NamedTuple):
     """A checked policy file."""
 
-    parameters: Parameters = DEFAULTS
+    parameters: Parameters = DEFAULT_PARAMETERS
     rules: tuple[Rule, ...] = ()
 
-    def adjust(self, env: Env) -> Adjustment:
-        """Evaluate all rules for one pool; the cost is bounded by the checker's limits."""
-        recruit, least = 0, 0
-        most: int | None = None
-        fired = []
+    def evaluate_rules(self, env: Environment) -> Adjustment:
+        """Combine all rules whose conditions hold for one pool.
+
+        The number of rules and the size of their conditions are limited by the checker, so
+        evaluation takes bounded time.
+        """
+        recruit, at_least = 0, 0
+        at_most: int | None = None
+        active_rules = []
         for rule in self.rules:
-            if not rule.condition.value(env):
+            if not rule.condition.evaluate(env):
                 continue
-            fired.append(rule.name)
+            active_rules.append(rule.name)
             if rule.action == "recruit":
-                recruit += rule.machines
+                recruit += rule.machine_count
             elif rule.action == "release":
-                recruit -= rule.machines
+                recruit -= rule.machine_count
             elif rule.action == "at_least":
-                least = max(least, rule.machines)
+                at_least = max(at_least, rule.machine_count)
             else:
-                most = rule.machines if most is None else min(most, rule.machines)
-        return Adjustment(recruit, least, most, tuple(fired))
+                at_most = (
+                    rule.machine_count if at_most is None else min(at_most, rule.machine_count)
+                )
+        return Adjustment(recruit, at_least, at_most, tuple(active_rules))
