--- a/coursefold/cells/__init__.py
+++ b/coursefold/cells/__init__.py
@@ -1,1 +1,1 @@
-"""Cells: jobs spill over from one cell to another. See `docs/cells.md`."""
+"""Moves waiting jobs between cells, each of which is a cluster. See `docs/cells.md`."""
--- a/coursefold/cells/cells.py
+++ b/coursefold/cells/cells.py
@@ -1,4 +1,7 @@
-"""A controller's part in the traffic between cells: rounds, frames in and out, its condition."""
+"""The extension of a controller's core that moves jobs between cells.
+
+It runs the rounds of both sides, receives and builds frames, and reports its health status.
+"""
 
 import logging
 from typing import Any
@@ -20,12 +23,23 @@
 log = logging.getLogger(__name__)
 
 WAITS_ENCODE_INTERVAL_S = 10.0
-MAX_MOVED_JOBS_SHOWN = 50  # jobs, and
-MAX_DECISIONS_SHOWN = 20  # decisions in a controller's condition
+MAX_MOVED_JOBS_SHOWN = 50  # in the health status
+MAX_DECISIONS_SHOWN = 20  # in the health status
 
 
 class Cells:
-    """Attached to a controller's core; without I/O, clock or randomness, as that is."""
+    """Runs both sides of handovers between cells as an extension of a controller's core.
+
+    Like the core, it does no I/O and uses neither a clock nor random numbers.
+
+    Attributes:
+        home: This cell's jobs in other cells.
+        guest: Other cells' jobs in this cell.
+        sequence: Number of the last frame built; receivers use it to drop reordered frames.
+        leading_token: Fencing token of the term that this process acts in; 0 if none.
+        expired_grants: Whether the grant of a home cell had expired in the last round.
+        encoded_waits: Histogram of waits in the frames, encoded every WAITS_ENCODE_INTERVAL_S.
+    """
 
     def __init__(self, config: CellsConfig, core: Core) -> None:
         self.config, self.core = config, core
@@ -44,7 +58,7 @@
         core.extensions.append(self)
 
     def tick(self) -> None:
-        """One round of the core."""
+        """Run one round of the core."""
         self.home.observe_grants()
         self._stop_guests_of_expired_grants()
         if not self.port.is_leading():
@@ -62,34 +76,36 @@
             self.encoded_waits = self.waits.encode_histogram()
 
     def _discard_frames(self) -> None:
-        """Frames from before we led may be older than what a former leader acted on."""
+        """Drop frames received before this term: a former leader may have acted on newer ones."""
         for cell in self.directory.cells.values():
             cell.frame, cell.pools = None, []
             cell.last_frame_at = MonotonicTime(-1e9)
 
     def _stop_guests_of_expired_grants(self) -> None:
-        """On every controller: stop the tasks of guests as soon as their grant has ended."""
+        """Stop the tasks of guests as soon as their grant has ended; runs on every controller."""
         ctx = self.core.ctx
         for home in ctx.grants.seen_grants:
-            now_lapsed = ctx.grants.has_expired(home, ctx.now, ctx.wall_time)
-            if now_lapsed and not self.expired_grants.get(home, True):
+            has_expired = ctx.grants.has_expired(home, ctx.now, ctx.wall_time)
+            if has_expired and not self.expired_grants.get(home, True):
                 guests = self.core.view.guest_jobs.items()
                 guest_names = [n for n, job in guests if job.guest and job.guest.home_cell == home]
                 if guest_names:
                     log.info(
-                        "the grant of %s has ended: %d jobs are stopped", home, len(guest_names)
+                        "grant of cell %s has expired; stopping its %d guest jobs",
+                        home,
+                        len(guest_names),
                     )
                     self.core.stop_cancelled_tasks(guest_names)
-            self.expired_grants[home] = now_lapsed
+            self.expired_grants[home] = has_expired
 
     def receive_frame(self, raw: bytes, address: str) -> bool:
-        """A frame from another cell; False if its connection should end."""
+        """Process a frame from another cell; False if its connection should be closed."""
         if not self.port.is_leading():
-            return True  # the leader is told as well
+            return True  # the leader receives its own frames
         return self.directory.receive_frame(raw, address) is not None
 
     def build_frame(self, name: str, member: str) -> bytes:
-        """The next frame for a controller of another cell; empty if it is told nothing."""
+        """Return the next frame for a controller of another cell, or empty bytes if none is due."""
         if not self.port.is_leading() or not self.directory.is_recipient(name, member):
             return b""
         cell = self.directory.cells[name]
@@ -109,14 +125,14 @@
         )
         return encode_frame(self.guest.add_guest_part(self.home.add_home_part(frame, cell), cell))
 
-    # For operators
+    # Operator interface
 
     def handle_operator_command(self, path: str, body: bytes, ticket: int) -> bool:
-        """There are no operators' commands to cells."""
+        """Return False: cells have no operator commands."""
         return False
 
     def health_status(self) -> dict[str, Any]:
-        """What `coursefold cells` shows."""
+        """Return the part of the health status that `coursefold cells` shows."""
         waits = summarize(self.waits.histogram)
         return {
             "cells": {
@@ -133,7 +149,7 @@
         }
 
     def _describe_moved_jobs(self) -> list[dict[str, Any]]:
-        """Our jobs in other cells and theirs here, those that moved last first."""
+        """Describe this cell's jobs elsewhere and guests here, most recently changed first."""
         wall, view = self.core.ctx.wall_time, self.core.view
         found: list[tuple[float, str, str, str]] = []
         for name, job in view.delegated_jobs.items():
@@ -159,6 +175,7 @@
         ]
 
     def _describe_cell(self, cell: RemoteCell) -> dict[str, Any]:
+        """Describe one other cell for the health status."""
         ctx, view = self.core.ctx, self.core.view
         delegations = [
             job.delegation
--- a/coursefold/cells/config.py
+++ b/coursefold/cells/config.py
@@ -1,4 +1,4 @@
-"""The file of cells, read and checked before anything else happens."""
+"""Reads and checks the cells file (`deploy/cells.toml`) before the service starts."""
 
 from pathlib import Path
 from typing import Annotated, Any
@@ -11,15 +11,17 @@
 
 CellName = Annotated[str, Meta(min_length=1, max_length=64, pattern="^[a-z0-9-]+$")]
 PositiveSeconds = Annotated[float, Meta(gt=0, le=3600)]
-PositiveCount = Annotated[int, Meta(ge=1, le=5_000)]  # a frame has room for so many jobs
+PositiveCount = Annotated[
+    int, Meta(ge=1, le=5_000)
+]  # the limit keeps frames within their maximum size
 Fraction = Annotated[float, Meta(gt=0, le=1)]
 
-SKEWED_CLOCK_COUNT = 2  # home's and guest's clock, each off by the bound
-CANCEL_MARGIN_S = 1.0
+SKEWED_CLOCK_COUNT = 2  # clocks of home and guest cell, each off by up to the skew bound
+CANCEL_MARGIN_S = 1.0  # of `cancel_s`, left for the commit of a cancellation
 
 
 class CellEntry(Struct, frozen=True, forbid_unknown_fields=True):
-    """One cell: its controllers by member, where they listen for other cells, its networks."""
+    """One cell: the addresses its controllers listen on for other cells, and its networks."""
 
     name: CellName
     controllers: dict[str, str]
@@ -27,27 +29,31 @@
 
 
 class SpillLimits(Struct, frozen=True, forbid_unknown_fields=True):
-    """What this cell sends to others, and when."""
+    """Limits on the jobs that this cell offers to others."""
 
-    jobs: PositiveCount = 200  # away at once, at each other cell
-    offers: PositiveCount = 8  # unanswered at once, at each other cell
-    after_s: PositiveSeconds = 5.0  # a job has waited so long before it is offered
-    min_gain_s: PositiveSeconds = 20.0  # of expected wait, beyond fetch, handover and price
-    return_pause_s: PositiveSeconds = 120.0  # before a job is offered again where it came back from
-    start_s: PositiveSeconds = 180.0  # a job that runs nowhere after so long is taken back
-    draining: bool = False  # offers nothing, takes no guests
+    jobs: PositiveCount = 200  # delegated at once, to each other cell
+    offers: PositiveCount = 8  # unanswered at once, for each other cell
+    after_s: PositiveSeconds = 5.0  # that a job waits before it is offered
+    min_gain_s: PositiveSeconds = (
+        20.0  # of expected wait, in addition to the costs of fetch, handover and price
+    )
+    return_pause_s: PositiveSeconds = (
+        120.0  # before a job is offered again to the cell that it returned from
+    )
+    start_s: PositiveSeconds = 180.0  # after which a granted job that does not run is withdrawn
+    draining: bool = False  # make no offers and refuse all guests
 
 
 class GuestLimits(Struct, frozen=True, forbid_unknown_fields=True):
-    """What this cell takes from others."""
+    """Limits on the jobs that this cell accepts from others."""
 
-    jobs: PositiveCount = 200  # at once, all other cells together
+    jobs: PositiveCount = 200  # at once, from all other cells together
     share: Fraction = 0.5  # of a pool's slots
     growth: PositiveCount = 8  # machines that may be rented for guests at once
 
 
 class CellsFile(Struct, frozen=True, forbid_unknown_fields=True):
-    """`deploy/cells.toml`: the same file for every controller of a cell."""
+    """The cells file, which is the same for every controller of a cell."""
 
     cell: CellName
     cells: list[CellEntry]
@@ -57,7 +63,12 @@
 
 
 class CellsConfig:
-    """The checked file, as one controller uses it."""
+    """The checked cells file as one controller uses it.
+
+    Attributes:
+        listen: Address on which this controller listens for other cells.
+        grant_s: Duration of a grant.
+    """
 
     def __init__(self, file: CellsFile, settings: Settings) -> None:
         self.file = file
@@ -70,24 +81,26 @@
 
     @property
     def other_cells(self) -> list[CellEntry]:
-        """The cells that work may go to and come from."""
+        """Cells that jobs may be exchanged with."""
         return [entry for entry in self.file.cells if entry.name != self.cell]
 
     def is_allowed_address(self, cell: str, address: str) -> bool:
-        """May frames of the cell come from this address?"""
+        """Return whether frames of the cell may come from this address."""
         networks = self.networks.get(cell)
         return networks is not None and cell != self.cell and IPAddress(address) in networks
 
     def is_other_cell_address(self, address: str) -> bool:
-        """Is the address within any other cell's networks?"""
+        """Return whether the address is in any other cell's networks."""
         return any(self.is_allowed_address(entry.name, address) for entry in self.other_cells)
 
 
 def max_grant_s(settings: Settings, lease_s: float | None = None) -> float:
-    """The longest grant under which a cancellation is kept in a cell that can't be reached.
+    """Return the longest grant, in seconds, that keeps the bound `cancel_s` on cancellations.
 
-    A grant that was renewed just before the cancellation runs out, then the leases of the
-    guest cell's workers do; both clocks may be off. Zero or less: no grant is short enough.
+    The bound must also hold if the guest cell cannot be reached. Then a grant that was renewed
+    just before the cancellation must expire, and after it the leases of the guest cell's
+    workers (`lease_s`, by default this cell's), while both cells' clocks may be off. A result
+    of zero or less means that no grant is short enough.
     """
     workers = settings.params.workers
     workers_lease_s = workers.lease_s if lease_s is None else lease_s
@@ -96,6 +109,7 @@
 
 
 def _check_cell(file: CellsFile, index: int, cell_of_address: dict[str, str]) -> None:
+    """Check one cell's entry, and add its addresses to `cell_of_address`."""
     entry = file.cells[index]
     if not entry.controllers:
         raise SettingsError(f"cells[{index}].controllers: none is named")
@@ -122,7 +136,7 @@
 
 
 def _check_networks(file: CellsFile) -> None:
-    """A frame's cell is told by its address, so no two cells may share one."""
+    """Check that networks of cells are disjoint, as an address must belong to one cell only."""
     for index, entry in enumerate(file.cells):
         for other in file.cells[:index]:
             if not IPSet(entry.networks).isdisjoint(IPSet(other.networks)):
@@ -130,7 +144,7 @@
 
 
 def check_cells_file(file: CellsFile, settings: Settings) -> None:
-    """What types alone cannot say."""
+    """Check what the types alone cannot express."""
     names = [entry.name for entry in file.cells]
     if file.cell not in names:
         raise SettingsError(f"cells: the own cell {file.cell!r} is not among them")
@@ -153,7 +167,11 @@
 
 
 def load_cells(path: Path, settings: Settings) -> CellsConfig:
-    """Read and check the file; every fault is a SettingsError that names the field."""
+    """Read and check the cells file.
+
+    Raises:
+        SettingsError: For every fault; its text names the field.
+    """
 
     def read(raw: dict[str, Any]) -> CellsConfig:
         file = msgspec.convert(raw, CellsFile)
--- a/coursefold/cells/decisions.py
+++ b/coursefold/cells/decisions.py
@@ -1,4 +1,4 @@
-"""The decisions of this process about jobs that move, for the log and for operators."""
+"""Logs this process's decisions about handovers, and keeps the newest for operators."""
 
 import logging
 from collections import Counter, deque
@@ -11,11 +11,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_DECISIONS = 200  # the newest, in memory; all are in the log
+MAX_DECISIONS = 200  # kept in memory; the log has all of them
 
 
 class HandoverStep(StrEnum):
-    """What was decided; the first five by a job's home cell."""
+    """A step of a handover; the first five are decided by the home cell, the rest by the guest."""
 
     OFFER = "offer"
     GRANT = "grant"
@@ -30,7 +30,7 @@
 
 
 class Decision(NamedTuple):
-    """One step of one job's handover; `cell` is the other one."""
+    """A step of a job's handover to or from another cell, `cell`."""
 
     decided_at: float  # time of day
     step: HandoverStep
@@ -41,14 +41,14 @@
     reason: str
 
     def format_line(self) -> str:
-        """In one line, as in the log."""
+        """Return the decision as one line, as it is logged."""
         reservation = f", reservation {self.reservation}" if self.reservation else ""
         why = f": {self.reason}" if self.reason else ""
         return f"{self.step} {self.job}, cell {self.cell}, epoch {self.epoch}{reservation}{why}"
 
 
 class DecisionLog:
-    """Logs decisions, counts them, and keeps the newest."""
+    """Logs decisions, counts them by step, and keeps the newest."""
 
     def __init__(self, wall_clock: Callable[[], float]) -> None:
         self.wall_clock = wall_clock
@@ -56,7 +56,7 @@
         self.counts: Counter[HandoverStep] = Counter()
 
     def record(self, step: HandoverStep, cell: str, handle: Handle, reason: str = "") -> None:
-        """A step was decided and is being written."""
+        """Record a decided step; its commit, if it needs one, may still be in flight."""
         job, epoch, reservation = handle
         decision = Decision(self.wall_clock(), step, job, cell, epoch, reservation, reason)
         self.newest.append(decision)
@@ -64,9 +64,9 @@
         log.info("%s", decision.format_line())
 
     def list_newest(self, limit: int) -> list[dict[str, Any]]:
-        """The newest decisions, the last one first, for a controller's condition."""
-        found = list(self.newest)[-limit:][::-1]
+        """Return up to `limit` newest decisions for the health status, the last one first."""
+        newest_first = list(self.newest)[-limit:][::-1]
         return [
             {"at": round(decision.decided_at, 1), "line": decision.format_line()}
-            for decision in found
+            for decision in newest_first
         ]
--- a/coursefold/cells/directory.py
+++ b/coursefold/cells/directory.py
@@ -1,7 +1,7 @@
-"""What the other cells' leaders say: the newest frame of each, and how old it is.
+"""Keeps the newest frame of each other cell's leader, and when it arrived.
 
-All of it is hints, but for what a cell says of its own records: that stays true however late
-it is heard, since epochs and reservations are never used again.
+The contents of frames are hints, except for what a cell says of its own records. That stays true
+however late it arrives, since epochs and reservations are never used again.
 """
 
 import logging
@@ -15,24 +15,30 @@
 log = logging.getLogger(__name__)
 
 _NUMBER_PATTERN = re.compile(r"[0-9.]+")
-MAX_DELIVERY_DELAY_S = 3.0  # beyond the clocks' bounds: held back on its way
-REACHABLE_TIMEOUT_S = 3.0
+MAX_DELIVERY_DELAY_S = 3.0  # of a frame on its way, in addition to the bound on clock skew
+REACHABLE_TIMEOUT_S = 3.0  # since the last frame
 LOG_REPEAT_INTERVAL_S = 60.0
 MAX_LOGGED_FAULTS = 100
-LEADER_TIMEOUT_S = 2.0  # of silence: then any of its controllers may lead
+LEADER_TIMEOUT_S = 2.0  # since the last frame; after it any of its controllers may lead
 
 
 class RemoteCell:
-    """One of the other cells."""
+    """The state of one other cell as known here.
+
+    Attributes:
+        frame: Newest frame; None if none has arrived in this term.
+        last_frame_at: When it arrived.
+        pools: Pools in that frame, with the load of later offers added.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.frame: Frame | None = None
         self.last_frame_at = MonotonicTime(-1e9)
-        self.pools: list[PoolState] = []  # less what was offered since
+        self.pools: list[PoolState] = []
 
     def is_newer(self, frame: Frame) -> bool:
-        """Was this frame sent after the one that we have?"""
+        """Return whether the frame was sent after the newest one known."""
         previous = self.frame
         return previous is None or (frame.fencing_token, frame.sequence) > (
             previous.fencing_token,
@@ -41,7 +47,12 @@
 
 
 class CellDirectory:
-    """The other cells, by name."""
+    """Checks and keeps the frames of the other cells.
+
+    Attributes:
+        cells: The other cells by name.
+        logged_faults: When a fault was last logged, by address and reason without its numbers.
+    """
 
     def __init__(self, config: CellsConfig, ctx: Context) -> None:
         self.config, self.ctx = config, ctx
@@ -49,7 +60,7 @@
         self.logged_faults: dict[tuple[str, str], MonotonicTime] = {}
 
     def receive_frame(self, raw: bytes, address: str) -> RemoteCell | None:
-        """Note a frame; the cell that it is of, or None if it changes nothing."""
+        """Check and keep a frame; return its cell, or None if the frame was dropped."""
         try:
             frame = decode_frame(raw)
             cell = self._check_sender(frame, address)
@@ -57,14 +68,18 @@
             self._log_dropped_frame(address, str(error))
             return None
         if not cell.is_newer(frame):
-            log.debug("cell frame %d of %s comes late", frame.sequence, frame.cell)
+            log.debug(
+                "dropping cell frame %d of cell %s: a newer one has arrived",
+                frame.sequence,
+                frame.cell,
+            )
             return None
         cell.frame, cell.last_frame_at = frame, self.ctx.now
         cell.pools = list(frame.pools)
         return cell
 
     def _log_dropped_frame(self, address: str, reason: str) -> None:
-        """One log line a minute for the same fault: frames come twice a second."""
+        """Log the same fault at most once a minute, since frames arrive twice a second."""
         fault = (address, _NUMBER_PATTERN.sub("", reason))
         last_logged_at = self.logged_faults.get(fault)
         if last_logged_at is not None and self.ctx.now - last_logged_at < LOG_REPEAT_INTERVAL_S:
@@ -72,28 +87,39 @@
         if len(self.logged_faults) >= MAX_LOGGED_FAULTS:
             self.logged_faults.clear()
         self.logged_faults[fault] = self.ctx.now
-        log.error("cell frame from %s dropped: %s", address, reason)
+        log.error("dropping cell frame from %s: %s", address, reason)
 
     def _check_sender(self, frame: Frame, address: str) -> RemoteCell:
+        """Return the frame's cell.
+
+        Raises:
+            InvalidFrameError: If the sender is not a controller of that cell, or the frame is
+                too old or from the future.
+        """
         cell = self.cells.get(frame.cell)
         if cell is None:
             raise InvalidFrameError(f"unknown cell {frame.cell[:40]!r}")
         if not self.config.is_allowed_address(frame.cell, address):
-            raise InvalidFrameError(f"cell {frame.cell} has no such address")
+            raise InvalidFrameError(f"sender address is not in the networks of cell {frame.cell}")
         if frame.member not in self.config.entries[frame.cell].controllers:
             raise InvalidFrameError(f"cell {frame.cell} has no controller {frame.member[:40]!r}")
         skew_s = 2.0 * self.ctx.settings.params.skew_ms / 1000.0
         if abs(self.ctx.wall_time - frame.sent_at) > MAX_DELIVERY_DELAY_S + skew_s:
-            raise InvalidFrameError(f"sent {self.ctx.wall_time - frame.sent_at:.1f} s ago")
+            raise InvalidFrameError(
+                f"sent {self.ctx.wall_time - frame.sent_at:.1f} s ago by the sender's clock"
+            )
         return cell
 
     def is_reachable(self, name: str) -> bool:
-        """Was the cell heard a moment ago?"""
+        """Return whether a frame of the cell arrived within REACHABLE_TIMEOUT_S."""
         cell = self.cells.get(name)
         return cell is not None and self.ctx.now - cell.last_frame_at < REACHABLE_TIMEOUT_S
 
     def is_recipient(self, name: str, member: str) -> bool:
-        """Should frames to the cell go to this controller? To all while none is known to lead."""
+        """Return whether to send frames for the cell to this controller.
+
+        All its controllers get them while none is known to lead.
+        """
         cell = self.cells[name]
         if cell.frame is None or self.ctx.now - cell.last_frame_at > LEADER_TIMEOUT_S:
             return True
--- a/coursefold/cells/edits.py
+++ b/coursefold/cells/edits.py
@@ -1,7 +1,8 @@
-"""Edits of job records and links: every step of a handover, each checked against the record.
+"""Edits of job records and cell links, one for each step of a handover between cells.
 
-Home's steps name the epoch, the guest's the reservation too, so that a late or repeated one
-changes nothing.
+Each function returns a `Change`, which raises `NotApplicableError` if the record is not in the
+state that the step requires. The home cell's steps name the epoch, those of the guest cell also
+the reservation, so that a late or repeated step changes nothing.
 """
 
 import msgspec
@@ -18,7 +19,10 @@
 
 
 def merge_ranges(ranges: TaskRanges, added: TaskRanges) -> TaskRanges:
-    """Ranges of task numbers brought together, in order."""
+    """Return the union of two lists of task number ranges, in ascending order.
+
+    Both ends of a range are inclusive. Overlapping and adjacent ranges are joined.
+    """
     merged: TaskRanges = []
     for first, last in sorted([*ranges, *added]):
         if merged and first <= merged[-1][1] + 1:
@@ -28,13 +32,13 @@
     return merged
 
 
-# The home cell's
+# Steps of the home cell
 
 
 def _require_delegation(
     record: Struct | None, cell: str, handle: Handle
 ) -> tuple[JobRecord, Delegation]:
-    """The record, if the job is away under this epoch."""
+    """Return the job and its delegation if it is delegated to the cell under this epoch."""
     if not isinstance(record, JobRecord) or record.delegation is None:
         raise NotApplicableError("not away")
     delegation = record.delegation
@@ -44,7 +48,15 @@
 
 
 def offer_job(delegation: Delegation, ready_at: float) -> Change:
-    """From here on nothing of the job starts at home, until it has come back."""
+    """Offer a waiting job to the delegation's cell.
+
+    From this commit on no task of the job starts in the home cell until the job has returned.
+
+    Args:
+        delegation: Its epoch must be one above that of the job's previous delegation.
+        ready_at: Time of day from which the job has been ready to run; recorded if the job
+            had open prerequisites, which are cleared.
+    """
 
     def change(record: Struct | None) -> EditResult:
         if not isinstance(record, JobRecord) or record.status != records.LIVE:
@@ -68,7 +80,7 @@
 
 
 def grant_job(cell: str, handle: Handle, wall_time: float) -> Change:
-    """The guest cell has reserved room: it may start the job, for as long as the grant holds."""
+    """Permit the guest cell, which reserved capacity, to run the job while its grant is valid."""
 
     def change(record: Struct | None) -> EditResult:
         job, delegation = _require_delegation(record, cell, handle)
@@ -86,7 +98,7 @@
 
 
 def mark_running(cell: str, handle: Handle, wall_time: float) -> Change:
-    """The guest cell says that tasks run: for the job's user."""
+    """Record that the guest cell reports running tasks, so that the user is shown it."""
 
     def change(record: Struct | None) -> EditResult:
         job, delegation = _require_delegation(record, cell, handle)
@@ -106,7 +118,10 @@
 
 
 def note_progress(cell: str, handle: Handle, done: TaskRanges) -> Change:
-    """Tasks that the guest cell says are done: shown to users, and not repeated if it is lost."""
+    """Record tasks that the guest cell reports as done.
+
+    They are shown to users, and do not run again if the guest cell is lost.
+    """
 
     def change(record: Struct | None) -> EditResult:
         job, delegation = _require_delegation(record, cell, handle)
@@ -121,7 +136,11 @@
 
 
 def _add_done_ranges(job: JobRecord, done: TaskRanges) -> TaskRanges:
-    """The job's done tasks and those that it has been told of."""
+    """Return the job's done ranges with those of `done` added.
+
+    Raises:
+        NotApplicableError: If `done` adds nothing or names a task that the job does not have.
+    """
     merged = merge_ranges(job.done_ranges, done)
     if merged == job.done_ranges or merged[-1][1] >= job.spec.task_count:
         raise NotApplicableError("nothing new, or no such task")
@@ -129,7 +148,7 @@
 
 
 def withdraw_job(cell: str, handle: Handle, wall_time: float, reason: str) -> Change:
-    """Have the guest cell stop and release the job."""
+    """Tell the guest cell to stop and release the job; `reason` is shown to users."""
 
     def change(record: Struct | None) -> EditResult:
         job, delegation = _require_delegation(record, cell, handle)
@@ -148,9 +167,11 @@
 def return_job(
     cell: str, handle: Handle, wall_time: float, reason: str, guest_state: GuestState | None = None
 ) -> Change:
-    """The job is at home again: on the guest cell's word, on proof, or before any grant.
+    """Return the job to its home cell.
 
-    `told` is that word: it names the reservation, and what was done there is done.
+    This is correct before any grant, once the guest cell has reported that it released the
+    reservation, or once every grant of that cell has expired. `guest_state` is the guest cell's
+    report of the release, if there is one; its done tasks and attempt number are taken over.
     """
 
     def change(record: Struct | None) -> EditResult:
@@ -176,7 +197,7 @@
 
 
 def finish_job(cell: str, handle: Handle) -> Change:
-    """The guest cell has finished the job."""
+    """End the job, which the guest cell has finished."""
 
     def change(record: Struct | None) -> EditResult:
         job, delegation = _require_delegation(record, cell, handle)
@@ -193,7 +214,16 @@
 
 
 def extend_grant(until: float, span_s: float, lease_s: float) -> Change:
-    """Written before the guest cell is told: no successor takes a job back sooner."""
+    """Record a longer grant to another cell.
+
+    The commit precedes the frame that announces the grant, so that no later leader returns a
+    job to the home cell before this grant has expired.
+
+    Args:
+        until: End of the grant, time of day.
+        span_s: Upper bound of the time from this commit to `until`.
+        lease_s: How long workers of the guest cell may run tasks after the grant has ended.
+    """
 
     def change(record: Struct | None) -> EditResult:
         link = record if isinstance(record, CellLink) else CellLink()
@@ -204,11 +234,11 @@
     return change
 
 
-# The guest cell's
+# Steps of the guest cell
 
 
 def reserve_job(home: str, offer: Offer, reservation: str, wall_time: float) -> Change:
-    """Promise room for another cell's job; nothing of it starts yet."""
+    """Create the guest record of an offered job; its tasks may not start before the grant."""
 
     def change(record: Struct | None) -> EditResult:
         if record is not None:
@@ -227,6 +257,7 @@
 
 
 def _require_guest(record: Struct | None, home: str, handle: Handle) -> tuple[JobRecord, Guest]:
+    """Return the job and its guest part if it is here under this epoch and reservation."""
     if not isinstance(record, JobRecord) or record.guest is None:
         raise NotApplicableError("not a guest")
     guest = record.guest
@@ -240,7 +271,7 @@
 
 
 def accept_grant(home: str, handle: Handle, wall_time: float) -> Change:
-    """Home has granted the reservation: its tasks may be placed."""
+    """Permit placing the job's tasks: the home cell has granted the reservation."""
 
     def change(record: Struct | None) -> EditResult:
         job, guest = _require_guest(record, home, handle)
@@ -254,7 +285,10 @@
 
 
 def revoke_job(home: str, handle: Handle) -> Change:
-    """Nothing of it starts any more; what has a place is stopped, and then it is released."""
+    """Cancel the job here.
+
+    Assigned tasks are dropped and placed ones are stopped; the job is released once none is left.
+    """
 
     def change(record: Struct | None) -> EditResult:
         job, guest = _require_guest(record, home, handle)
@@ -270,7 +304,7 @@
 
 
 def delete_guest(home: str, handle: Handle) -> Change:
-    """Its home has confirmed what became of it, or never granted it: the record goes."""
+    """Delete the record of a guest whose end is confirmed by its home cell, or never granted."""
 
     def change(record: Struct | None) -> EditResult:
         job, guest = _require_guest(record, home, handle)
@@ -282,7 +316,12 @@
 
 
 def record_held_grant(until: float, span_s: float) -> Change:
-    """What home has told us: guests may run until then."""
+    """Record the end of the grant that the home cell has announced; its guests may run until then.
+
+    Args:
+        until: End of the grant, time of day.
+        span_s: Upper bound of the time from this commit to `until`.
+    """
 
     def change(record: Struct | None) -> EditResult:
         link = record if isinstance(record, CellLink) else CellLink()
--- a/coursefold/cells/guest.py
+++ b/coursefold/cells/guest.py
@@ -1,9 +1,9 @@
-"""The guest cell's side: what it reserves, runs and releases for others.
+"""The guest cell's part of a handover: reserves, runs and releases other cells' jobs.
 
-A reservation has a name that is never used again, and only a grant of that name starts
-anything, so whatever comes late or twice finds nothing that it fits. The end of a grant is
-recorded only once our records show nothing that home no longer lists: so a cancellation that
-home leaves out of a frame is known here before any grant is longer for it.
+A reservation's id is never used again, and only a grant that names it starts tasks, so late and
+repeated messages have no effect. The end of a grant is recorded only once the records here hold
+no guest that its home cell no longer lists. So a cancellation, which the home cell shows by
+leaving the job out of a frame, takes effect here before any longer grant does.
 """
 
 from collections import Counter
@@ -23,22 +23,29 @@
 from coursefold.storage.records import JobRecord, job_key
 
 POOLS_REFRESH_INTERVAL_S = 1.0
-MAX_PROGRESS_RANGES = (
-    50  # of done tasks in each frame, while a job runs; all of them at its release
-)
-RESERVATION_TIMEOUT_S = 30.0  # without a word from its home
+# A running job with more ranges of done tasks sends none; at its release it sends all of them.
+MAX_PROGRESS_RANGES = 50
+RESERVATION_TIMEOUT_S = 30.0  # without a frame from the home cell
 EDIT_TAG = "guest"
 ENDED_STAGES = (GuestStage.RELEASED, GuestStage.FINISHED)
 
 
 def guest_handle(name: JobId, job: JobRecord) -> Handle:
-    """The handle of a guest's record."""
+    """Return the handle of a guest's record."""
     assert job.guest is not None
     return Handle(name, job.guest.epoch, job.guest.reservation)
 
 
 class GuestSide:
-    """Other cells' jobs here."""
+    """Manages other cells' jobs in this cell.
+
+    Attributes:
+        reservation_count: Reservations under this fencing token; part of their ids.
+        refusals: Refused offers and why, by home cell, for as long as its frames list them.
+        answered_frames: Token and sequence of the last frame whose offers were answered, by cell.
+        pools: What guests may use of each pool, less the offers accepted since it was computed.
+        counts: Numbers of events since the start of this process, shown on /healthz.
+    """
 
     def __init__(
         self, config: CellsConfig, port: CorePort, directory: CellDirectory, decisions: DecisionLog
@@ -46,7 +53,7 @@
         self.config, self.port, self.directory = config, port, directory
         self.decisions = decisions
         self.ctx, self.view = port.ctx, port.view
-        self.reservation_count = 0  # under this token; part of their names
+        self.reservation_count = 0
         self.refusals: dict[str, dict[Handle, str]] = {}
         self.answered_frames: dict[str, tuple[int, int]] = {}
         self.pools: list[PoolState] = []
@@ -54,7 +61,7 @@
         self.counts: Counter[str] = Counter()
 
     def tick(self) -> None:
-        """One round of the leader."""
+        """Run one round on the leader."""
         self._update_pools()
         for name, job in list(self.view.guest_jobs.items()):
             self._check_guest(name, job)
@@ -63,10 +70,10 @@
             if frame is not None and self.directory.is_reachable(cell.name):
                 self._apply_frame(cell.name, frame)
 
-    # Guests that are here
+    # Guests
 
     def _check_guest(self, name: JobId, job: JobRecord) -> None:
-        """What holds without any word from its home."""
+        """Revoke or delete the guest where no frame from its home cell is needed for that."""
         guest = job.guest
         if guest is None:
             return
@@ -82,21 +89,25 @@
             self._delete_if_home_silent(guest, handle)
 
     def _revoke_if_grant_expired(self, home: str, handle: Handle) -> None:
+        """Stop the guest if the grant of its home cell has expired."""
         if self.ctx.grants.has_expired(home, self.ctx.now, self.ctx.wall_time):
             self.counts["lapsed"] += 1
             self._revoke(home, handle, "the grant has ended")
 
     def _delete_if_home_silent(self, guest: Guest, handle: Handle) -> None:
-        """Room is not held for a cell that may be gone; a grant that comes later finds nothing."""
+        """Drop a reservation whose home cell may be gone, to free its capacity.
+
+        A grant that arrives later names a reservation that no longer exists, and has no effect.
+        """
         waited_s = self.ctx.wall_time - guest.stage_started_at
         if waited_s > RESERVATION_TIMEOUT_S and not self.directory.is_reachable(guest.home_cell):
             self._delete(guest.home_cell, handle, f"its home was not heard for {waited_s:.0f} s")
 
     def _apply_frame(self, home: str, frame: Frame) -> None:
-        """Bring the guests of one home to what its newest frame says."""
+        """Update the guests of one home cell to its newest frame, and answer its offers."""
         offered = {offer.handle[:2] for offer in frame.offers}
         granted, revoked, closed = set(frame.grants), set(frame.revoked), set(frame.closed)
-        settled = True
+        is_settled = True
         for name, job in list(self.view.guest_jobs.items()):
             if job.guest is None or job.guest.home_cell != home:
                 continue
@@ -110,17 +121,17 @@
                     self._accept_grant(home, handle)
             elif stage == GuestStage.RESERVED:
                 if handle[:2] not in offered or handle in revoked or handle in closed:
-                    settled = False
+                    is_settled = False
                     self._delete(home, handle, "never granted")
             elif job.status == records.LIVE:
-                settled = False
+                is_settled = False
                 self._revoke(home, handle, "its home takes it back")
-        if settled:
+        if is_settled:
             self._record_grant(home, frame)
         self._answer_offers(home, frame)
 
     def _record_grant(self, home: str, frame: Frame) -> None:
-        """Record the grant's end, before any guest runs by it."""
+        """Record the end of the grant, before any guest runs under it."""
         link = self.view.cell_links.get(home, CellLink())
         remaining = frame.granted_until - self.ctx.wall_time
         if frame.granted_until > link.held_until and remaining > 0:
@@ -129,25 +140,28 @@
             )
 
     def _accept_grant(self, home: str, handle: Handle) -> None:
+        """Permit the guest's tasks to run, unless no valid grant is recorded."""
         if self.ctx.grants.has_expired(home, self.ctx.now, self.ctx.wall_time):
-            return  # its end has to be recorded first
+            return  # the end of the new grant must be recorded first
         change = edits.accept_grant(home, handle, self.ctx.wall_time)
         if self.port.change_job(handle.job, change, EDIT_TAG):
             self.counts["granted"] += 1
             self.decisions.record(HandoverStep.RUN, home, handle)
 
     def _revoke(self, home: str, handle: Handle, reason: str) -> None:
+        """Stop the guest's tasks and release it."""
         if self.port.change_job(handle.job, edits.revoke_job(home, handle), EDIT_TAG):
             self.decisions.record(HandoverStep.STOP, home, handle, reason)
 
     def _delete(self, home: str, handle: Handle, reason: str) -> None:
+        """Delete the guest's record."""
         if self.port.change_job(handle.job, edits.delete_guest(home, handle), EDIT_TAG):
             self.decisions.record(HandoverStep.DROP, home, handle, reason)
 
     # Offers
 
     def _answer_offers(self, home: str, frame: Frame) -> None:
-        """Once for each frame: reserve room, or say why not."""
+        """Reserve or refuse each new offer; done once for each frame."""
         frame_id = (frame.fencing_token, frame.sequence)
         if self.answered_frames.get(home) == frame_id:
             return
@@ -167,14 +181,14 @@
         self.pools = pools.states
 
     def _is_here(self, home: str, handle: Handle) -> bool:
-        """Is the offer reserved already, or an earlier one of the job still to be cleared?"""
+        """Return whether a record or change exists for this or an earlier offer of the job."""
         job = self.view.guest_jobs.get(handle.job)
         if job is not None and job.guest is not None and job.guest.home_cell == home:
             return True
         return self.port.has_pending_change(handle.job)
 
     def _explain_refusal(self, home: str, offer: Offer, pools: PoolEstimator) -> str:
-        """Why the job is not taken; empty if it is, and then its room counts as taken."""
+        """Return why the offer is refused; if empty, its load has been added to `pools`."""
         limits = self.config.guests
         if self.config.spill.draining:
             return "the cell takes no guests now"
@@ -195,16 +209,18 @@
         return ""
 
     def _count_live_guests(self) -> int:
-        """Guests that take room, or may yet."""
+        """Count the guests that use capacity or may do so later."""
         stages = (job.guest.stage for job in self.view.guest_jobs.values() if job.guest)
         return sum(stage not in ENDED_STAGES for stage in stages)
 
     def _refuse(self, home: str, handle: Handle, reason: str) -> None:
+        """Keep the refusal for the frames to the home cell."""
         self.counts["refused"] += 1
         self.refusals.setdefault(home, {})[handle] = reason
         self.decisions.record(HandoverStep.REFUSE, home, handle, reason)
 
     def _reserve(self, home: str, offer: Offer) -> None:
+        """Commit a reservation; the offer is refused if that fails."""
         self.reservation_count += 1
         reservation = f"{self.view.fencing_token}-{self.reservation_count}"
         handle = offer.handle
@@ -232,7 +248,10 @@
     # Frames
 
     def _update_pools(self) -> None:
-        """What guests may still have of each pool: a share of it, behind our own queue."""
+        """Compute what guests may still use of each pool, once in POOLS_REFRESH_INTERVAL_S.
+
+        That is the configured share of the pool, behind the jobs waiting in this cell.
+        """
         if self.ctx.now - self.pools_read_at < POOLS_REFRESH_INTERVAL_S:
             return
         self.pools_read_at = self.ctx.now
@@ -261,7 +280,7 @@
         ]
 
     def add_guest_part(self, frame: Frame, cell: RemoteCell) -> Frame:
-        """Add what we are to the cell as the guest of its jobs."""
+        """Return the frame with the fields that this cell sends as guest cell of `cell`."""
         link = self.view.cell_links.get(cell.name, CellLink())
         states = [
             self._describe_guest(name, job)
@@ -279,6 +298,7 @@
 
     @staticmethod
     def _describe_guest(name: JobId, job: JobRecord) -> GuestState:
+        """Return what the home cell is told of a guest."""
         assert job.guest is not None
         stage = job.guest.stage
         running = sum(entry.stage != records.ASSIGNED for entry in job.entries)
@@ -287,10 +307,10 @@
         return GuestState(guest_handle(name, job), stage, running, done, job.attempt)
 
     def _list_unknown_handles(self, cell: RemoteCell, known: set[Handle]) -> list[GuestState]:
-        """What the cell thinks is here and is not: it never will be, under this reservation.
+        """Report as released the jobs that the home cell lists and that are not here.
 
-        Our records are those of a leader, complete up to its roster, and a reservation is told
-        only once they show it; so one that they do not show is gone for good.
+        This is final. A leader's records are complete up to its roster, and a reservation is
+        announced only once they hold it; so one that they do not hold has been deleted.
         """
         if cell.frame is None:
             return []
--- a/coursefold/cells/home.py
+++ b/coursefold/cells/home.py
@@ -1,9 +1,10 @@
-"""The home cell's side: what it offers, grants, and takes back.
+"""The home cell's part of a handover: offers, grants and the return of jobs.
 
-Each step is written before the guest cell is told, so that every later leader of this cell
-knows at least as much as any guest was told. A job that was granted comes back on one of two
-proofs: the guest cell's word on exactly this reservation, or the end of every grant that it
-can have been told, and of what its tasks may go on for after that.
+Each step is committed before it is announced to the guest cell, so that every later leader of
+this cell knows at least as much as any guest cell was told. A granted job returns on one of two
+proofs: the guest cell reports that exactly this reservation has ended, or every grant that the
+guest cell can have received has expired, and so has the time for which its workers may keep
+tasks running after that.
 """
 
 from collections import Counter
@@ -26,24 +27,31 @@
 from coursefold.storage.records import JobRecord
 
 CHOOSE_INTERVAL_S = 1.0
-PROGRESS_INTERVAL_S = 0.5  # one job's, a change each
-OFFER_TIMEOUT_S = 6.0  # without an answer: the job comes back, for nothing was granted
-RENEW_BELOW_RATIO = 0.7  # of its span: what is left of a grant when it is renewed
-MIN_GRANT_RATIO = 0.4  # and what must be left of one when a job is granted under it
-START_CHECK_DELAY_S = 15.0  # a granted job is left alone for so long
-EXPIRY_MARGIN_S = 5.0  # an answer may be executed 4 s after it was given
-MAX_DONE_RANGES = 500  # a job with more is not offered: they would fill the frames
+PROGRESS_INTERVAL_S = 0.5  # between two commits of progress, each of one job
+OFFER_TIMEOUT_S = 6.0  # an unanswered offer is then returned, as nothing was granted
+RENEW_BELOW_RATIO = 0.7  # a grant is renewed when less than this share of its duration is left
+MIN_GRANT_RATIO = 0.4  # share of a grant's duration that must be left to grant a job under it
+START_CHECK_DELAY_S = 15.0  # before a granted job that does not run is checked
+EXPIRY_MARGIN_S = 5.0  # a worker may execute a response 4 s after it was given
+MAX_DONE_RANGES = 500  # a job with more is not offered, since its ranges would fill the frames
 
 
 class SeenGrant(NamedTuple):
-    """The end of the grants to a cell as recorded, and when this process first saw it."""
+    """The recorded end of the grants to a cell, and when this process first saw that record."""
 
-    granted_until: float
+    granted_until: float  # time of day
     seen_at: MonotonicTime
 
 
 class HomeSide:
-    """Our jobs in other cells."""
+    """Manages this cell's jobs that are delegated to other cells.
+
+    Attributes:
+        seen_grants: Last recorded grant, by guest cell.
+        chosen_at: Time of the last round of offers.
+        progress_at: Time of the last commit of progress.
+        counts: Numbers of events since the start of this process, shown on /healthz.
+    """
 
     def __init__(
         self,
@@ -62,14 +70,14 @@
         self.counts: Counter[str] = Counter()
 
     def observe_grants(self) -> None:
-        """Note the grants that the records show; on every controller, for it may lead next."""
+        """Record when grants are first seen; runs on every controller, since any may lead next."""
         for cell, link in self.view.cell_links.items():
             known = self.seen_grants.get(cell)
             if known is None or known.granted_until != link.granted_until:
                 self.seen_grants[cell] = SeenGrant(link.granted_until, self.ctx.now)
 
     def tick(self) -> None:
-        """One round of the leader."""
+        """Run one round on the leader."""
         for name, job in list(self.view.delegated_jobs.items()):
             delegation = job.delegation
             if delegation is not None:
@@ -82,11 +90,12 @@
             self.chosen_at = self.ctx.now
             self._offer_jobs()
 
-    # Jobs that are away
+    # Delegated jobs
 
     def _follow_delegation(
         self, name: JobId, job: JobRecord, delegation: Delegation, handle: Handle
     ) -> None:
+        """Take the next step that the guest cell's newest frame or the time calls for."""
         if delegation.stage == DelegationStage.OFFERED:
             self._follow_offer(name, delegation, handle)
             return
@@ -119,7 +128,7 @@
     def _note_progress(
         self, name: JobId, job: JobRecord, delegation: Delegation, guest_state: GuestState
     ) -> None:
-        """Write what is done there, one job at a time, when nothing else waits to be written."""
+        """Commit done tasks, one job at a time, while the write queue has a spare rate."""
         if (
             self.ctx.now - self.progress_at < PROGRESS_INTERVAL_S
             or not self.port.has_spare_write_rate()
@@ -135,11 +144,13 @@
 
     @staticmethod
     def _return_reason(delegation: Delegation) -> str:
+        """Return why a released job returns."""
         if delegation.stage == DelegationStage.WITHDRAWN:
             return delegation.why
         return "the cell has released it"
 
     def _find_guest_state(self, delegation: Delegation, handle: Handle) -> GuestState | None:
+        """Return what the guest cell's newest frame says of the job, if anything."""
         cell = self.directory.cells.get(delegation.guest_cell)
         frame = cell.frame if cell else None
         if frame is None:
@@ -147,6 +158,7 @@
         return next((state for state in frame.guests if state.handle == handle), None)
 
     def _follow_offer(self, name: JobId, delegation: Delegation, handle: Handle) -> None:
+        """Grant a reserved offer; return one that was refused or timed out."""
         cell = self.directory.cells.get(delegation.guest_cell)
         frame = cell.frame if cell else None
         if cell is not None and frame is not None:
@@ -164,13 +176,14 @@
             self.counts["unanswered"] += 1
 
     def _grant_job(self, cell: RemoteCell, name: JobId, handle: Handle) -> None:
+        """Grant the job if enough is left of the grant to its guest cell."""
         link = self.view.cell_links.get(cell.name, CellLink())
         remaining_s = link.granted_until - self.ctx.wall_time
         if (
             not self.directory.is_reachable(cell.name)
             or remaining_s < MIN_GRANT_RATIO * link.granted_s
         ):
-            return  # the grant is renewed first; or the offer runs out
+            return  # until the grant is renewed; without renewal the offer times out
         if remaining_s <= 0:
             return
         change = edits.grant_job(cell.name, handle, self.ctx.wall_time)
@@ -196,7 +209,7 @@
     def _withdraw_if_stuck(
         self, name: JobId, job: JobRecord, delegation: Delegation, handle: Handle
     ) -> None:
-        """Room that was promised has not come to be: the job may do better at home."""
+        """Withdraw a granted job that does not start, as it may start sooner in its home cell."""
         granted_s = self.ctx.wall_time - delegation.stage_started_at
         limits = self.config.spill
         if granted_s > limits.start_s:
@@ -213,7 +226,10 @@
             self.decisions.record(HandoverStep.WITHDRAW, delegation.guest_cell, handle, reason)
 
     def _expected_guest_wait_s(self, job: JobRecord, delegation: Delegation) -> float:
-        """The wait that the guest cell's pools tell for a job that is in their queue."""
+        """Return the expected wait of one task of a job that is queued in the guest cell.
+
+        It is 0 if the cell is not reachable.
+        """
         cell = self.directory.cells.get(delegation.guest_cell)
         if cell is None or not self.directory.is_reachable(delegation.guest_cell):
             return 0.0
@@ -223,15 +239,16 @@
     # Grants
 
     def _has_grant_expired(self, cell: str) -> bool:
-        """Has every grant that the cell can know of run out, and all that ran under it ended?
+        """Return whether all grants to the cell have expired and tasks under them have ended.
 
-        Counted by the time of day, and by the steady clock since this process first saw the
-        last grant's record, so that a clock that is set forwards takes nothing back early.
+        Both clocks must agree: the time of day, and the monotonic clock, counted from when this
+        process first saw the last grant's record. So setting the time of day forwards does not
+        return a job early.
         """
         link = self.view.cell_links.get(cell)
         seen = self.seen_grants.get(cell)
         if link is None or seen is None or not link.granted_until:
-            return True  # never was anything granted
+            return True  # nothing was ever granted
         skew_s = SKEWED_CLOCK_COUNT * self.ctx.settings.params.skew_ms / 1000.0
         margin_s = skew_s + EXPIRY_MARGIN_S
         if self.ctx.wall_time < link.granted_until + link.granted_lease_s + margin_s:
@@ -240,10 +257,10 @@
         return self.ctx.now - seen.seen_at > span_s
 
     def _renew_grant(self, cell: RemoteCell) -> None:
-        """Extend the grant to a cell that hears us and has work of ours.
+        """Extend the grant to a cell that has jobs of this cell.
 
-        Not while it has not acknowledged the last extension: a cell that is heard but does
-        not hear would else keep our jobs for ever.
+        It is not extended before the cell has acknowledged the last extension. Otherwise a cell
+        whose frames arrive here, but which receives none, would keep its guests forever.
         """
         frame = cell.frame
         link = self.view.cell_links.get(cell.name, CellLink())
@@ -260,8 +277,8 @@
         if is_held and frame.held_until < link.granted_until:
             return
         span_s = self._grant_span_s(frame)
-        # From the moment up to which our records show every cancellation: what was confirmed
-        # after it is younger than the grant.
+        # The grant counts from the time up to which the records here show every cancellation,
+        # so that any cancellation that they lack was confirmed after the grant began.
         current_at = self.ctx.wall_time - max(0.0, self.ctx.now - self.ctx.watch_ok_at)
         if span_s <= 0 or link.granted_until - current_at > RENEW_BELOW_RATIO * span_s:
             return
@@ -269,20 +286,22 @@
         self.port.change_link(cell.name, change, "granted")
 
     def _grant_span_s(self, frame: Frame) -> float:
-        """How long a grant to the cell may be, for cancellations to hold there."""
+        """Return the longest grant, in seconds, that keeps the bound on cancellations there."""
         return min(self.config.grant_s, max_grant_s(self.ctx.settings, frame.lease_s))
 
     def _jobs_delegated_to(self, cell: str) -> dict[JobId, JobRecord]:
-        delegation = self.view.delegated_jobs.items()
+        """Return the jobs of this cell that are delegated to the other one."""
+        delegated = self.view.delegated_jobs.items()
         return {
             name: job
-            for name, job in delegation
+            for name, job in delegated
             if job.delegation and job.delegation.guest_cell == cell
         }
 
     # Offers
 
     def _offer_jobs(self) -> None:
+        """Record expected waits, and offer the jobs that would start sooner elsewhere."""
         queue = self.port.read_queue()
         for waiting_job in queue.waiting_jobs:
             if waiting_job.job.guest is None:
@@ -297,6 +316,7 @@
             self._offer_job(choice)
 
     def _find_targets(self) -> dict[str, SpillTarget]:
+        """Return the cells that may be offered jobs now, by name."""
         limits = self.config.spill
         found: dict[str, SpillTarget] = {}
         if limits.draining or self._has_guests():
@@ -315,14 +335,15 @@
             if room > 0 and self._grant_span_s(frame) > 0:
                 pools = PoolEstimator(cell.pools)
                 found[cell.name] = SpillTarget(pools, room)
-                cell.pools = pools.states  # what is offered now counts until the next frame
+                cell.pools = pools.states  # offers made now count as load until the next frame
         return found
 
     def _has_guests(self) -> bool:
-        """Do other cells' jobs take room here? Our own go before them, and need no other cell.
+        """Return whether other cells' jobs hold capacity here.
 
-        Seen: two cells that were both full exchanged their jobs, and a gang of two waited
-        behind the other's own work for longer than it would have at home.
+        Local jobs take precedence over guests, and so need no other cell. Otherwise two full
+        cells would exchange their jobs, and a gang of two would wait behind the other cell's
+        own jobs for longer than in its home cell.
         """
         stages = (job.guest.stage for job in self.view.guest_jobs.values() if job.guest)
         return any(stage in (GuestStage.RESERVED, GuestStage.GRANTED) for stage in stages)
@@ -330,7 +351,7 @@
     def _find_candidates(
         self, waiting: list[WaitingJob], pools: PoolEstimator
     ) -> list[SpillCandidate]:
-        """Jobs that may go: whole, none of their tasks placed, within their team's limit."""
+        """Return jobs that may move: no task is placed, and their team's limit permits them."""
         quota = self.port.new_quota_tracker()
         placed = self.port.list_jobs_being_placed()
         found: list[SpillCandidate] = []
@@ -368,6 +389,7 @@
         return found
 
     def _may_move(self, waiting_job: WaitingJob) -> bool:
+        """Return whether the job's own state permits offering it."""
         job = waiting_job.job
         if job.guest is not None or job.entries or job.spec.kind == "standing":
             return False
@@ -378,7 +400,7 @@
         )
 
     def _recently_left_cell(self, job: JobRecord) -> str:
-        """The cell that the job came back from a moment ago."""
+        """Return the cell that the job returned from within `return_pause_s`, if any, or ""."""
         delegation = job.delegation
         if (
             delegation is None
@@ -388,6 +410,7 @@
         return delegation.guest_cell
 
     def _offer_job(self, choice: SpillChoice) -> None:
+        """Commit an offer under the job's next epoch."""
         job = self.view.jobs[choice.name]
         epoch = (job.delegation.epoch if job.delegation else 0) + 1
         delegation = Delegation(
@@ -410,7 +433,7 @@
     # Frames
 
     def add_home_part(self, frame: Frame, cell: RemoteCell) -> Frame:
-        """Add what we are to the cell as its guests' home."""
+        """Return the frame with the fields that this cell sends as home of its jobs in `cell`."""
         offers: list[Offer] = []
         grants: list[Handle] = []
         revoked: list[Handle] = []
@@ -445,9 +468,9 @@
         )
 
     def _closed_handles(self, cell: RemoteCell) -> tuple[Handle, ...]:
-        """Guests that the cell names and that are not ours there, or not any more.
+        """Return the guests in the cell's frame that are not, or no longer, delegated to it.
 
-        Final: an epoch or a reservation that is over is never used again.
+        This is final, since an epoch or a reservation that has ended is never used again.
         """
         if cell.frame is None:
             return ()
@@ -459,6 +482,7 @@
         )
 
     def _is_current(self, cell: str, handle: Handle) -> bool:
+        """Return whether the job is delegated to the cell under this handle."""
         job = self.view.delegated_jobs.get(handle.job)
         delegation = job.delegation if job else None
         if delegation is None or (delegation.guest_cell, delegation.epoch) != (cell, handle.epoch):
--- a/coursefold/cells/messages.py
+++ b/coursefold/cells/messages.py
@@ -1,7 +1,7 @@
-"""Frames between cells as typed messages, and the checks on what comes in.
+"""Encodes and decodes the frames between cells, and validates received frames.
 
-A frame is taken whole or not at all: one field that no cell of ours would send, and nothing
-of it is believed.
+A frame is accepted or rejected as a whole: one field that no correct controller would send
+makes all of it invalid.
 """
 
 import math
@@ -15,21 +15,21 @@
 from coursefold.protocol.wire import Job, MachineType, MalformedError, decode_job, encode
 from coursefold.storage.cell_records import GuestStage
 
-VERSION = 1
-MAX_LIST_ITEMS = 20_000  # in one list; twice the jobs that a cell may have away
-EPOCH_LIMIT = 1 << 53
-MAX_TEXT_CHARS = 400  # letters of a reason or a reservation's name
+VERSION = 1  # of the protocol
+MAX_LIST_ITEMS = 20_000  # in one list; twice the jobs that a cell may have delegated
+EPOCH_LIMIT = 1 << 53  # exclusive
+MAX_TEXT_CHARS = 400  # of a reason or a reservation id
 MAX_DURATION_S = 3600.0
 
-TaskRanges = list[tuple[int, int]]
+TaskRanges = list[tuple[int, int]]  # first and last task number, both inclusive
 
 
 class InvalidFrameError(Exception):
-    """One plain line of why a frame is dropped."""
+    """The frame is invalid; the text is one line that says why."""
 
 
 class Handle(NamedTuple):
-    """A job under one offer and, once there is one, one reservation."""
+    """Identifies a job under one offer (`epoch`) and, once it exists, one reservation."""
 
     job: JobId
     epoch: int
@@ -37,18 +37,18 @@
 
 
 class Offer(NamedTuple):
-    """A job that its home cell would have run elsewhere."""
+    """A job that its home cell offers to another cell."""
 
     handle: Handle
     spec: Job
-    accepted_at: float
+    accepted_at: float  # time of day
     attempt: int
     done_ranges: TaskRanges
-    expected_wait_s: float
+    expected_wait_s: float  # in the home cell
 
 
 class GuestState(NamedTuple):
-    """What the guest cell's record says of a job."""
+    """The state of a job according to the guest cell's record."""
 
     handle: Handle
     stage: GuestStage
@@ -58,27 +58,54 @@
 
 
 class Refusal(NamedTuple):
-    """An offer that the guest cell does not take."""
+    """An offer that the guest cell refuses."""
 
     handle: Handle
     reason: str
 
 
 class PoolState(NamedTuple):
-    """A pool of alike machines as its cell's leader sees it, in slots."""
+    """A pool of machines of one type, counted in slots.
+
+    Attributes:
+        free_slots: Slots that are free now.
+        queued_slots: Slots that waiting tasks need beyond the free ones.
+        freed_slots_per_s: Rate at which slots become free while the pool is full.
+        steady_wait_s: Expected wait in the pool's queue at its present load, E[W].
+        growth_slots: Slots of machines that may still be rented, as far as is known.
+    """
 
     type_info: MachineType
     spot: bool
-    price_per_slot_s: float  # per slot and second
+    price_per_slot_s: float
     free_slots: float
     queued_slots: float
     freed_slots_per_s: float
     steady_wait_s: float
-    growth_slots: float  # slots of machines that may be rented at once, as far as is known
+    growth_slots: float
 
 
 class Frame(NamedTuple):
-    """All that the leader of one cell tells the leader of another."""
+    """All that the leader of one cell sends to the leader of another.
+
+    Attributes:
+        member: The sending controller.
+        fencing_token: Of the sending leader; with `sequence` it orders the cell's frames.
+        sent_at: Time of day by the sender's clock.
+        lease_s: Lease of the sending cell's workers.
+        cancel_s: Bound on cancellations in the sending cell.
+        granted_until: As home cell: end of the grant to the receiver, time of day.
+        grant_s: Duration of that grant.
+        offers: As home cell: jobs that the receiver may reserve capacity for.
+        grants: As home cell: jobs that the receiver may run.
+        revoked: As home cell: jobs that the receiver is to stop and release.
+        closed: As home cell: guests whose records the receiver may delete.
+        held_until: As guest cell: end of the grant that it has recorded.
+        guests: As guest cell: states of the receiver's jobs.
+        refusals: As guest cell: refused offers.
+        pools: Capacity for guests.
+        wait_histogram: Encoded histogram of the waits in the sending cell; may be empty.
+    """
 
     cell: str
     member: str
@@ -102,14 +129,17 @@
 
 
 def _encode_handle(handle: Handle) -> cell_pb2.Handle:
+    """Return the protobuf form of a handle."""
     return cell_pb2.Handle(job=handle.job, epoch=handle.epoch, reservation=handle.reservation)
 
 
 def _encode_ranges(done: TaskRanges) -> list[cell_pb2.Range]:
+    """Return the protobuf form of task ranges."""
     return [cell_pb2.Range(low=low, high=high) for low, high in done]
 
 
 def _encode_pool(pool: PoolState) -> cell_pb2.Pool:
+    """Return the protobuf form of a pool's state."""
     kind = pool.type_info
     return cell_pb2.Pool(
         build=kind.name, spot=pool.spot, cpus=kind.cpus, gpus=kind.gpus, memory=kind.memory_gb,
@@ -120,7 +150,7 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """A frame's bytes."""
+    """Return the frame as bytes."""
     message = cell_pb2.CellFrame(
         version=VERSION, cell=frame.cell, member=frame.member, token=frame.fencing_token,
         seq=frame.sequence, sent_at=frame.sent_at, lease_s=frame.lease_s, cancel_s=frame.cancel_s,
@@ -148,25 +178,27 @@
 
 
 def _check_number(value: float, name: str, maximum: float = 1e12) -> float:
+    """Return the value if it is finite and within 0 and the maximum."""
     if not math.isfinite(value) or not 0.0 <= value <= maximum:
-        raise InvalidFrameError(f"{name} is {value}")
+        raise InvalidFrameError(f"{name} is {value}, which is out of range")
     return value
 
 
 def _decode_handle(item: cell_pb2.Handle) -> Handle:
+    """Return a valid handle; its reservation may be empty."""
     if not is_job_id(item.job):
-        raise InvalidFrameError(f"{item.job[:40]!r} is no job")
+        raise InvalidFrameError(f"{item.job[:40]!r} is not a job id")
     if not 0 < item.epoch < EPOCH_LIMIT:
-        raise InvalidFrameError(f"epoch {item.epoch} of {item.job}")
+        raise InvalidFrameError(f"epoch {item.epoch} of {item.job} is out of range")
     if len(item.reservation) > MAX_TEXT_CHARS:
         raise InvalidFrameError(
-            f"the reservation of {item.job} has {len(item.reservation)} letters"
+            f"reservation id of {item.job} has {len(item.reservation)} characters"
         )
     return Handle(JobId(item.job), item.epoch, item.reservation)
 
 
 def _decode_reserved_handle(item: cell_pb2.Handle) -> Handle:
-    """A handle that must have a reservation."""
+    """Return a valid handle that has a reservation."""
     handle = _decode_handle(item)
     if not handle.reservation:
         raise InvalidFrameError(f"{handle.job} has no reservation")
@@ -174,26 +206,29 @@
 
 
 def _decode_ranges(items: "list[cell_pb2.Range]", job: JobId, tasks: int) -> TaskRanges:
-    """Ranges in order and apart, within the job's tasks."""
+    """Return task ranges, which must be ascending, not adjacent, and within the job's tasks."""
     found: TaskRanges = []
     next_free = -1
     for item in items:
         if not next_free < item.low <= item.high < tasks:
-            raise InvalidFrameError(f"done tasks of {job} from {item.low} to {item.high}")
+            raise InvalidFrameError(
+                f"range of done tasks of {job} from {item.low} to {item.high} is invalid"
+            )
         found.append((item.low, item.high))
         next_free = item.high + 1
     return found
 
 
-MAX_TASK_COUNT = 100_000  # by the protocol
+MAX_TASK_COUNT = 100_000  # of one job, by the protocol
 
 
 def _decode_offer(item: cell_pb2.Offer) -> Offer:
+    """Return a valid offer; prerequisites are left out, as they are met."""
     handle = _decode_handle(item.handle)
     try:
         spec = decode_job(item.spec)
-    except MalformedError as wrong:
-        raise InvalidFrameError(f"description of {handle.job}: {wrong}") from None
+    except MalformedError as error:
+        raise InvalidFrameError(f"description of {handle.job}: {error}") from None
     if spec.name != handle.job or spec.kind == "standing":
         raise InvalidFrameError(f"{handle.job} is offered with the description of {spec.name}")
     return Offer(
@@ -207,18 +242,20 @@
 
 
 def _decode_guest_state(item: cell_pb2.GuestState) -> GuestState:
+    """Return a valid state of a guest."""
     handle = _decode_reserved_handle(item.handle)
     try:
         stage = GuestStage(item.stage)
     except ValueError:
-        raise InvalidFrameError(f"stage {item.stage} of {handle.job}") from None
+        raise InvalidFrameError(f"stage {item.stage} of {handle.job} is unknown") from None
     done = _decode_ranges(list(item.done), handle.job, MAX_TASK_COUNT)
     return GuestState(handle, stage, item.running, done, item.attempt)
 
 
 def _decode_pool(item: cell_pb2.Pool) -> PoolState:
+    """Return a valid state of a pool; fields that cells do not exchange are 0."""
     if not item.build or not item.zones:
-        raise InvalidFrameError("a pool without a type or zones")
+        raise InvalidFrameError("a pool has no machine type or no zones")
     kind = MachineType(
         name=item.build, cpus=_check_number(item.cpus, "cpus"),
         gpus=_check_number(item.gpus, "gpus"),
@@ -241,13 +278,17 @@
 
 
 def decode_frame(raw: bytes) -> Frame:
-    """A frame, or BadFrameError for what no cell of ours sends."""
+    """Return the decoded frame.
+
+    Raises:
+        InvalidFrameError: If any part of it is invalid.
+    """
     try:
         message = cell_pb2.CellFrame.FromString(raw)
     except DecodeError:
-        raise InvalidFrameError(f"{len(raw)} bytes are not readable") from None
+        raise InvalidFrameError(f"{len(raw)} bytes are not a protobuf message") from None
     if message.version != VERSION:
-        raise InvalidFrameError(f"version {message.version}")
+        raise InvalidFrameError(f"version {message.version} is not supported")
     lists = (
         message.offers,
         message.grants,
@@ -257,7 +298,7 @@
         message.refusals,
     )
     if any(len(items) > MAX_LIST_ITEMS for items in lists):
-        raise InvalidFrameError("a list is too long")
+        raise InvalidFrameError("a list has too many items")
     return Frame(
         cell=message.cell,
         member=message.member,
--- a/coursefold/cells/policy.py
+++ b/coursefold/cells/policy.py
@@ -1,9 +1,10 @@
-"""Whether a waiting job spills, and where to.
+"""Decides which waiting jobs move to another cell, and to which one.
 
-A job is worth moving when its expected wait here exceeds the one there by more than the move
-costs: the image's fetch, the handover, and a dearer slot, weighed by the paper's η, in which
-a second of wait is worth (1-η)/η of a second's price. A deadline that would be missed here
-and met there decides without the operators' margin.
+A job moves when its expected wait here exceeds the expected wait there by more than the cost of
+the move and the operators' margin. The cost is the time of the image fetch and of the handover,
+and the higher price of slots: with the policy's η, one unit of price weighs as much as (1-η)/η
+seconds of wait. The margin does not apply to a job whose deadline would be missed here and met
+there.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,25 +16,34 @@
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 
-HANDOVER_DELAY_S = 3.0  # offer, reservation and grant: a commit and a frame each
-MAX_CANDIDATES = 200  # jobs in one round, those with the longest waits
+HANDOVER_DELAY_S = 3.0  # offer, reservation and grant take a commit and a frame each
+MAX_CANDIDATES = 200  # jobs considered in one round, those with the longest waits
 
 
 class SpillCandidate(NamedTuple):
-    """A job that may be moved."""
+    """A waiting job that may be moved.
+
+    Attributes:
+        task_count: Its waiting tasks.
+        home_wait_s: Expected wait in this cell.
+        run_s: Mean run time of its tasks.
+        price_per_slot_s: Price of a slot in this cell, per second.
+        deadline_in_s: Seconds from now until its deadline; None without one.
+        excluded_cell: A cell that it returned from a moment ago; may be empty.
+    """
 
     name: JobId
     spec: Job
     task_count: int
     home_wait_s: float
     run_s: float
-    price_per_slot_s: float  # of a slot here, per second
+    price_per_slot_s: float
     deadline_in_s: float | None
-    excluded_cell: str = ""  # a cell that it came back from a moment ago
+    excluded_cell: str = ""
 
 
 class SpillChoice(NamedTuple):
-    """A job, the cell it is offered to, and both expected waits."""
+    """A job, the cell to offer it to, the expected waits in both cells, and why it moves."""
 
     name: JobId
     cell: str
@@ -43,16 +53,16 @@
 
 
 class SpillTarget(NamedTuple):
-    """A cell that may be offered work."""
+    """A cell that may be offered jobs."""
 
     pools: PoolEstimator
-    max_offers: int  # offers that it may still be made
+    max_offers: int  # further offers that it may be made now
 
 
 def move_cost_s(
     candidate: SpillCandidate, pools: PoolEstimator, pool_index: int, eta: float
 ) -> float:
-    """What moving costs, in seconds of wait."""
+    """Return the cost of moving the job to the pool, expressed in seconds of wait."""
     pool = pools.states[pool_index]
     extra_price = max(0.0, pool.price_per_slot_s - candidate.price_per_slot_s)
     slot_seconds = candidate.run_s * slots_of_task(candidate.spec, pool.type_info)
@@ -66,17 +76,18 @@
 def _compute_gain(
     candidate: SpillCandidate, target: SpillTarget, eta: float
 ) -> tuple[float, ExpectedWait] | None:
-    found = target.pools.find_shortest_wait(candidate.spec, candidate.task_count)
-    if found is None:
+    """Return the seconds gained by moving the job, and its wait there; None if it cannot run."""
+    expected = target.pools.find_shortest_wait(candidate.spec, candidate.task_count)
+    if expected is None:
         return None
-    cost = move_cost_s(candidate, target.pools, found.pool_index, eta)
-    return candidate.home_wait_s - found.wait_s - cost, found
+    cost = move_cost_s(candidate, target.pools, expected.pool_index, eta)
+    return candidate.home_wait_s - expected.wait_s - cost, expected
 
 
 def _find_spill_reason(
     candidate: SpillCandidate, gain_s: float, remote_wait_s: float, limits: SpillLimits
 ) -> str:
-    """Why the job is moved; empty if it is not."""
+    """Return why the job moves; empty if it stays."""
     if gain_s > limits.min_gain_s:
         return f"saves {gain_s:.0f} s"
     deadline_in_s = candidate.deadline_in_s
@@ -93,10 +104,13 @@
     limits: SpillLimits,
     eta: float,
 ) -> list[SpillChoice]:
-    """Which jobs to offer now, the longest waits first; each fills its target's pools."""
+    """Return the offers to make now, longest waits first.
+
+    The load of each chosen job is added to the pools of its target.
+    """
     remaining_offers = {name: target.max_offers for name, target in targets.items()}
     by_wait = sorted(candidates, key=lambda c: (-c.home_wait_s, c.name))[:MAX_CANDIDATES]
-    found: list[SpillChoice] = []
+    choices: list[SpillChoice] = []
     for candidate in by_wait:
         best: tuple[float, str, ExpectedWait] | None = None
         for cell, target in targets.items():
@@ -108,11 +122,11 @@
         if best is None:
             continue
         gain_s, cell, expected = best
-        why = _find_spill_reason(candidate, gain_s, expected.wait_s, limits)
-        if why:
+        reason = _find_spill_reason(candidate, gain_s, expected.wait_s, limits)
+        if reason:
             targets[cell].pools.add_load(expected.pool_index, candidate.spec, candidate.task_count)
             remaining_offers[cell] -= 1
-            found.append(
-                SpillChoice(candidate.name, cell, candidate.home_wait_s, expected.wait_s, why)
+            choices.append(
+                SpillChoice(candidate.name, cell, candidate.home_wait_s, expected.wait_s, reason)
             )
-    return found
+    return choices
--- a/coursefold/cells/port.py
+++ b/coursefold/cells/port.py
@@ -1,4 +1,4 @@
-"""The core as cells see it: all that they ask of it and may do to it, in one place."""
+"""The only interface through which the cells package reads and changes the core."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -15,11 +15,17 @@
 from coursefold.storage.records import JobRecord, cell_link_key, job_key
 
 QUEUE_REFRESH_INTERVAL_S = 0.9
-MAX_GROWTH_SLOTS = 1e6  # slots: our own loop rents what our queue needs
+MAX_GROWTH_SLOTS = 1e6  # no limit in practice: the pools rent what the local queue needs
 
 
 class WaitingJob(NamedTuple):
-    """A job that waits here, in queue order, and its expected wait."""
+    """A job that waits in this cell.
+
+    Attributes:
+        task_count: Its waiting tasks.
+        age_s: Seconds that it has waited so far.
+        expected_wait_s: Further seconds until all waiting tasks are expected to start.
+    """
 
     name: JobId
     job: JobRecord
@@ -29,15 +35,15 @@
 
 
 class QueueState(NamedTuple):
-    """What waits here, and the pools once all of it is on its way."""
+    """The waiting jobs in queue order, and the pools with the load of all of them added."""
 
     waiting_jobs: list[WaitingJob]
     pools: PoolEstimator
-    pool_slots: list[float]  # slots of each pool
+    pool_slots: list[float]  # all slots of each pool, in the order of the pools
 
 
 class CorePort:
-    """One controller's core."""
+    """Gives both sides of handovers access to one controller's core."""
 
     def __init__(self, core: Core) -> None:
         self.core = core
@@ -47,15 +53,15 @@
         self.last_queue = QueueState([], PoolEstimator([]), [])
 
     def is_leading(self) -> bool:
-        """May this controller decide for its cell, in the forms that cells need?"""
+        """Return whether this controller leads and records of cells may be written."""
         return self.ctx.is_leading() and self.view.format_level >= records.CELLS_LEVEL
 
     def new_quota_tracker(self) -> QuotaTracker:
-        """The teams' limits and what is used of them now."""
+        """Return a tracker of the teams' limits and their present use."""
         return QuotaTracker(self.ctx.settings.params.teams, self.view.team_usage)
 
     def explain_team_refusal(self, spec: Job, task_count: int) -> str:
-        """Why this cell would not run a job of the team; empty if it would."""
+        """Return why this cell would not run the job for its team; empty if it would."""
         team = next((t for t in self.ctx.settings.params.teams if t.name == spec.team), None)
         if team is None:
             return f"team {spec.team} is not known here"
@@ -64,22 +70,22 @@
         return ""
 
     def mean_run_s(self, spec: Job) -> float:
-        """Mean run time of a task of the job's class, as far as is known."""
+        """Return the mean run time of tasks of the job's class, as far as is known."""
         return self.core.leader.run_times.mean_run_s(spec, self.ctx.now)
 
     def eta(self) -> float:
-        """The weight of wait against cost."""
+        """Return the policy's η, the weight of the wait against the cost."""
         return self.ctx.policy.parameters.eta
 
     def read_queue(self) -> QueueState:
-        """What waits and the pools, looked at once a second for both sides."""
+        """Return the queue, computed about once a second; the pools are a copy that may change."""
         if self.ctx.now - self.queue_read_at >= QUEUE_REFRESH_INTERVAL_S:
             self.queue_read_at, self.last_queue = self.ctx.now, self._compute_queue()
         waiting, pools, sizes = self.last_queue
         return QueueState(waiting, PoolEstimator(pools.states), sizes)
 
     def _compute_queue(self) -> QueueState:
-        """Spread what waits over the pools in queue order: each job behind those before it."""
+        """Assign the waiting jobs to pools in queue order, each behind the jobs before it."""
         pools = PoolEstimator(self._pool_states())
         waiting: list[WaitingJob] = []
         for queued in self.core.leader.list_queued_jobs(self.new_quota_tracker()):
@@ -97,48 +103,49 @@
         )
 
     def _pool_states(self) -> Iterable[PoolState]:
+        """Yield the state of each pool before waiting jobs are added."""
         fleet = self.core.fleet
         for pool, demand in fleet.pool_control.demands.items():
             offerings = (
                 MachineOffering(pool.machine_type, zone, pool.spot)
                 for zone in demand.type_info.zones
             )
-            # Not those that are blocked just now: a place that refused is asked again and
-            # again, and counts as full until the cloud has filled a whole request there.
+            # An offering that refused counts as full until the cloud has filled a whole request
+            # there. Whether it is blocked now does not tell this, as requests are retried.
             can_grow = any(offering not in fleet.rentals.refusal_counts for offering in offerings)
             yield compute_pool_state(demand, MAX_GROWTH_SLOTS if can_grow else 0.0)
 
     def has_spare_write_rate(self) -> bool:
-        """Is there room to write what is never urgent?"""
+        """Return whether the write queue has a spare rate for writes that are never urgent."""
         return self.core.queue.has_spare_rate(self.ctx.now)
 
     def has_unreadable_record(self, name: JobId) -> bool:
-        """Is there a record of the job that we can not read, or not yet?"""
+        """Return whether a record of the job exists that cannot be read, or not yet."""
         key = job_key(name)
         return key in self.view.unreadable_keys or self.view.has_missing_parts(key)
 
     def has_pending_change(self, name: JobId) -> bool:
-        """Is a change of the job's record under way?"""
+        """Return whether a change of the job's record is in flight."""
         return self.core.queue.is_busy(job_key(name))
 
     def list_jobs_being_placed(self) -> set[str]:
-        """Jobs of which tasks get a place just now."""
+        """Return the jobs with placements in flight."""
         return {name for name, _ in self.ctx.placements_in_flight}
 
     def change_job(
         self, name: JobId, change: Change, tag: str, priority: int = NORMAL_PRIORITY
     ) -> bool:
-        """Have a job's record changed; False while the same change is under way."""
+        """Propose a change of a job's record; False while the same change is in flight."""
         edit = Edit(
             job_key(name), change, priority=priority, fencing_token=self.view.fencing_token, tag=tag
         )
         return self.core.queue.propose(edit)
 
     def propose(self, edit: Edit) -> bool:
-        """Have an edit written that wants to know its outcome."""
+        """Propose an edit, for callers that need its outcome."""
         return self.core.queue.propose(edit)
 
     def change_link(self, cell: str, change: Change, tag: str) -> bool:
-        """Have the record of what is granted to and by another cell changed."""
+        """Propose a change of the record of grants to and from another cell."""
         edit = Edit(cell_link_key(cell), change, fencing_token=self.view.fencing_token, tag=tag)
         return self.core.queue.propose(edit)
--- a/coursefold/cells/waits.py
+++ b/coursefold/cells/waits.py
@@ -1,4 +1,4 @@
-"""Measured waits until jobs start, and how far the model's expectations are off."""
+"""Measures waits until jobs start, and corrects the model's estimates by them."""
 
 from collections import deque
 from typing import NamedTuple
@@ -9,27 +9,35 @@
 from coursefold.storage.records import JobRecord
 from coursefold.storage.view import View
 
-MAX_SAMPLES = 200  # of the newest jobs, for the correction
-MIN_SAMPLES = 20
+MAX_SAMPLES = 200  # started jobs that the correction is computed from, the newest ones
+MIN_SAMPLES = 20  # with fewer there is no correction
 MIN_CORRECTION_FACTOR, MAX_CORRECTION_FACTOR = 0.5, 3.0
-RATIO_OFFSET_S = 1.0  # added on both sides of the ratio: short waits are all noise
+RATIO_OFFSET_S = 1.0  # added to both means of the ratio, as very short waits are mostly noise
 CHECK_INTERVAL_S = 2.0
 
 
 class WaitEstimate(NamedTuple):
-    """What the model said of a job when it was first seen waiting, and when that was."""
+    """The model's estimate for a job when it was first seen waiting."""
 
-    eligible_at: float  # from when the job's wait counts
-    estimated_at: float
-    expected_s: float
+    eligible_at: float  # start of the job's wait, time of day
+    estimated_at: float  # time of day
+    expected_s: float  # further wait from `estimated_at` on
 
 
 def _has_started(job: JobRecord) -> bool:
+    """Return whether any task of the job has been placed or is done."""
     return bool(job.entries or job.done_ranges)
 
 
 class WaitTracker:
-    """Waits of this cell's own jobs, and the factor that corrects the model by them."""
+    """Tracks the waits of this cell's own jobs.
+
+    Attributes:
+        histogram: Measured waits of all jobs since the start of this process.
+        estimates: Estimates for jobs that have not started.
+        samples: Measured and estimated wait of the newest started jobs, each in seconds and
+            counted from the time of the estimate.
+    """
 
     def __init__(self, view: View) -> None:
         self.view = view
@@ -39,7 +47,7 @@
         self.checked_at = MonotonicTime(-1e9)
 
     def record_estimate(self, name: JobId, wall_time: float, expected_s: float) -> None:
-        """Note the model's first word on a waiting job of which nothing has started."""
+        """Record the first estimate for a waiting job of which no task has started."""
         job = self.view.jobs.get(name)
         if job is not None and name not in self.estimates and not _has_started(job):
             self.estimates[name] = WaitEstimate(
@@ -47,7 +55,7 @@
             )
 
     def record_started_jobs(self, now: MonotonicTime, wall_time: float) -> None:
-        """Note which of the jobs that waited have started."""
+        """Record the waits of jobs that have started since the last call."""
         if now - self.checked_at < CHECK_INTERVAL_S:
             return
         self.checked_at = now
@@ -57,24 +65,24 @@
                 continue
             del self.estimates[name]
             if job is None or job.status != records.LIVE or job.is_delegated:
-                continue  # it ended unseen, was cancelled, or waits elsewhere
+                continue  # it ended between two checks, was cancelled, or waits in another cell
             waited_s = max(0.0, wall_time - estimate.eligible_at)
             record_seconds(self.histogram, waited_s)
             self.samples.append((max(0.0, wall_time - estimate.estimated_at), estimate.expected_s))
 
     @property
     def correction_factor(self) -> float:
-        """Measured waits over expected ones; 1 until enough jobs have started."""
+        """Ratio of measured to estimated waits, within bounds; 1 until enough jobs have started."""
         if len(self.samples) < MIN_SAMPLES:
             return 1.0
         measured_s = RATIO_OFFSET_S + sum(waited_s for waited_s, _ in self.samples) / len(
             self.samples
         )
-        modelled_s = RATIO_OFFSET_S + sum(seconds for _, seconds in self.samples) / len(
+        modelled_s = RATIO_OFFSET_S + sum(expected_s for _, expected_s in self.samples) / len(
             self.samples
         )
         return min(MAX_CORRECTION_FACTOR, max(MIN_CORRECTION_FACTOR, measured_s / modelled_s))
 
     def encode_histogram(self) -> bytes:
-        """The histogram for other cells; empty while it is."""
+        """Return the encoded histogram for other cells; empty bytes if it has no values."""
         return bytes(self.histogram.encode()) if self.histogram.get_total_count() else b""
