--- a/coursefold/cells/cells.py
+++ b/coursefold/cells/cells.py
@@ -15,7 +15,7 @@
 from coursefold.cells.port import CorePort
 from coursefold.cells.waits import WaitTracker
 from coursefold.coordination.core import Core
-from coursefold.histograms import read_summary, summarize
+from coursefold.histograms import decode_summary, summarize
 from coursefold.protocol.ids import MonotonicTime
 from coursefold.storage import records
 from coursefold.storage.cell_records import DelegationStage
@@ -185,7 +185,7 @@
         guests = [j for j in view.guest_jobs.values() if j.guest and j.guest.home_cell == cell.name]
         silence_s = ctx.now - cell.last_frame_at
         summary = (
-            read_summary(cell.frame.wait_histogram)
+            decode_summary(cell.frame.wait_histogram)
             if cell.frame and cell.frame.wait_histogram
             else None
         )
--- a/coursefold/cells/home.py
+++ b/coursefold/cells/home.py
@@ -20,7 +20,7 @@
 from coursefold.cells.port import CorePort, WaitingJob
 from coursefold.cells.waits import WaitTracker
 from coursefold.protocol.ids import JobId, MonotonicTime
-from coursefold.settings import CLOCK_DRIFT
+from coursefold.settings import CLOCK_DRIFT_FACTOR
 from coursefold.storage import records
 from coursefold.storage.cell_records import CellLink, Delegation, DelegationStage, GuestStage
 from coursefold.storage.edits import LOW_PRIORITY
@@ -253,7 +253,7 @@
         margin_s = skew_s + EXPIRY_MARGIN_S
         if self.ctx.wall_time < link.granted_until + link.granted_lease_s + margin_s:
             return False
-        span_s = (link.granted_s + link.granted_lease_s) * CLOCK_DRIFT + margin_s
+        span_s = (link.granted_s + link.granted_lease_s) * CLOCK_DRIFT_FACTOR + margin_s
         return self.ctx.now - seen.seen_at > span_s
 
     def _renew_grant(self, cell: RemoteCell) -> None:
--- a/coursefold/histograms.py
+++ b/coursefold/histograms.py
@@ -1,16 +1,23 @@
-"""Distributions of durations, as HDR histograms."""
+"""HDR histograms of durations in milliseconds."""
 
 from typing import NamedTuple
 
 from hdrh.histogram import HdrHistogram
 
-SHORTEST_MS = 1
-LONGEST_MS = 24 * 3600 * 1000
-DIGITS = 2
+MIN_DURATION_MS = 1
+MAX_DURATION_MS = 24 * 3600 * 1000
+SIGNIFICANT_DIGITS = 2
 
 
 class Summary(NamedTuple):
-    """A distribution of durations, in seconds."""
+    """Summary of a distribution of durations.
+
+    Attributes:
+        total: Count of recorded durations.
+        median: Median in seconds.
+        p90: 90th percentile in seconds.
+        p99: 99th percentile in seconds.
+    """
 
     total: int
     median: float
@@ -19,24 +26,24 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """An empty histogram of milliseconds."""
-    return HdrHistogram(SHORTEST_MS, LONGEST_MS, DIGITS)
+    """Create an empty histogram from 1 ms to 24 hours, exact to two significant digits."""
+    return HdrHistogram(MIN_DURATION_MS, MAX_DURATION_MS, SIGNIFICANT_DIGITS)
 
 
 def record_seconds(histogram: HdrHistogram, seconds: float) -> None:
-    """Add one duration; what is out of range counts as the nearest that is not."""
-    histogram.record_value(min(LONGEST_MS, max(SHORTEST_MS, int(seconds * 1000))))
+    """Record a duration; values outside the histogram's range are clamped to it."""
+    histogram.record_value(min(MAX_DURATION_MS, max(MIN_DURATION_MS, int(seconds * 1000))))
 
 
 def summarize(histogram: HdrHistogram) -> Summary:
-    """Median and high percentiles."""
-    found = [histogram.get_value_at_percentile(p) / 1000.0 for p in (50, 90, 99)]
-    return Summary(histogram.get_total_count(), *found)
+    """Return the count, median, and 90th and 99th percentiles of a histogram."""
+    percentiles = [histogram.get_value_at_percentile(p) / 1000.0 for p in (50, 90, 99)]
+    return Summary(histogram.get_total_count(), *percentiles)
 
 
-def read_summary(encoded: bytes) -> Summary | None:
-    """The summary of an encoded histogram; None for what is not one."""
+def decode_summary(encoded: bytes) -> Summary | None:
+    """Return the summary of an encoded histogram, or None if it cannot be decoded."""
     try:
         return summarize(HdrHistogram.decode(encoded))
-    except Exception:  # the library raises whatever its C code or zlib do
+    except Exception:  # the library passes on any exception of its C code and of zlib
         return None
--- a/tests/test_cells_input.py
+++ b/tests/test_cells_input.py
@@ -31,7 +31,7 @@
 from coursefold.cli import main
 from coursefold.coordination import jobs
 from coursefold.coordination.grants import GrantExpiry
-from coursefold.histograms import read_summary
+from coursefold.histograms import decode_summary
 from coursefold.protocol import cell_pb2
 from coursefold.protocol.ids import JobId, MonotonicTime, WallTime
 from coursefold.protocol.wire import Catalog, Job, decode, encode
@@ -792,7 +792,7 @@
         assert log.correction_factor == 1.0
     log.record_started_jobs(MonotonicTime(100.0), EPOCH + 19.0)
     assert log.correction_factor == pytest.approx(2.0)
-    summary = read_summary(log.encode_histogram())
+    summary = decode_summary(log.encode_histogram())
     assert summary is not None
     assert summary.total == MIN_SAMPLES
     assert summary.median == pytest.approx(19.0, rel=0.02)
@@ -802,4 +802,4 @@
 
 @pytest.mark.parametrize("raw", [b"x", b"HISTFAAAAA", bytes(200)])
 def test_what_is_no_histogram_is_not_shown(raw: bytes) -> None:
-    assert read_summary(raw) is None
+    assert decode_summary(raw) is None
