--- a/coursefold/cells/home.py
+++ b/coursefold/cells/home.py
@@ -331,10 +331,10 @@
                 if job.delegation
             ]
             open_offer_count = sum(stage == DelegationStage.OFFERED for stage in stages)
-            room = min(limits.offers - open_offer_count, limits.jobs - len(stages))
-            if room > 0 and self._grant_span_s(frame) > 0:
+            remaining_offers = min(limits.offers - open_offer_count, limits.jobs - len(stages))
+            if remaining_offers > 0 and self._grant_span_s(frame) > 0:
                 pools = PoolEstimator(cell.pools)
-                found[cell.name] = SpillTarget(pools, room)
+                found[cell.name] = SpillTarget(pools, remaining_offers)
                 cell.pools = pools.states  # offers made now count as load until the next frame
         return found
 
