--- a/coursefold/cells/estimate.py
+++ b/coursefold/cells/estimate.py
@@ -1,8 +1,9 @@
-"""Expected waits: how long a job would wait in a cell as it is.
+"""Estimates how long a job would wait in a cell in its present state.
 
-The queue is that of the pools (M/M/c, `coordination.queueing`): E[W] for what arrives while
-the pool keeps up, and what is ahead over the rate at which slots become free where it does
-not. Where more machines can be rented, nobody waits for much longer than a boot.
+Each pool is modelled as an M/M/c queue (`coordination.queueing`). While the pool keeps up with
+its load, the expected wait is E[W] of that queue. Otherwise it is the number of queued slots
+divided by the rate at which slots become free. Where more machines can be rented, the wait is
+limited to little more than the time of a boot.
 """
 
 from collections.abc import Iterable
@@ -14,88 +15,95 @@
 from coursefold.coordination.queueing import evaluate_queue
 from coursefold.protocol.wire import Job
 
-BOOT_FACTOR = 1.3  # machines take up to half as long again
-LONGEST_S = 3600.0  # beyond it one wait is as bad as another
-BUSIEST = 0.99  # of a pool's slots; from there on the wait is told by what is ahead
-ZONES_APART = 2
+BOOT_TIME_FACTOR = 1.3  # machines take up to 1.5 times as long as their type says
+MAX_WAIT_S = 3600.0  # longer waits count as equally bad
+MAX_UTILIZATION = 0.99  # share of busy slots above which only queued slots set the wait
+MIN_SPREAD_ZONES = 2  # of a pool, for jobs that spread over zones
 
 
-class Expectation(NamedTuple):
-    """An expected wait in seconds, and the number of the pool."""
+class ExpectedWait(NamedTuple):
+    """The expected wait in a pool, and the index of that pool."""
 
-    wait: float
-    pool: int
+    wait_s: float
+    pool_index: int
 
 
-def pool_state(demand: PoolDemand, growth: float) -> PoolState:
-    """A pool as it is, booting machines included, before anything that waits is placed."""
-    size = float(demand.machine_count * demand.slots_per_machine)
-    mean_run = demand.mean_batch_run_s if demand.batch_slots else demand.mean_run_s
-    steady = 0.0
+def compute_pool_state(demand: PoolDemand, growth_slots: float) -> PoolState:
+    """Return the state of a pool, booting machines included, before waiting tasks are added."""
+    slots_total = float(demand.machine_count * demand.slots_per_machine)
+    mean_run_s = demand.mean_batch_run_s if demand.batch_slots else demand.mean_run_s
+    steady_wait_s = 0.0
     rate = demand.arrived_slots / demand.window_s
-    if 0 < rate * demand.mean_run_s < BUSIEST * size:
-        steady = (
-            evaluate_queue(int(size), rate, 1 / demand.mean_run_s).mean_wait_s * demand.batch_factor
+    if 0 < rate * demand.mean_run_s < MAX_UTILIZATION * slots_total:
+        steady_wait_s = (
+            evaluate_queue(int(slots_total), rate, 1 / demand.mean_run_s).mean_wait_s
+            * demand.batch_factor
         )
     return PoolState(
-        kind=demand.type_info,
+        type_info=demand.type_info,
         spot=demand.spot,
-        price=demand.price_per_slot_s,
-        free=max(0.0, size - demand.busy_slots),
-        ahead=0.0,
-        # Of a pool that is full; what is free is told apart. Replicas do not end by themselves.
-        drain=max(0.0, size - demand.standing_slots) / max(1.0, mean_run),
-        steady_s=min(LONGEST_S, steady),
-        growth=growth,
+        price_per_slot_s=demand.price_per_slot_s,
+        free_slots=max(0.0, slots_total - demand.busy_slots),
+        queued_slots=0.0,
+        # The rate of a full pool, as free slots are separate. Replicas do not end by themselves.
+        freed_slots_per_s=max(0.0, slots_total - demand.standing_slots) / max(1.0, mean_run_s),
+        steady_wait_s=min(MAX_WAIT_S, steady_wait_s),
+        growth_slots=growth_slots,
     )
 
 
-def may_use(spec: Job, pool: PoolState) -> bool:
-    """May the job's tasks run in the pool?"""
-    if not fits_machine_type(spec, pool.kind) or (pool.spot and not spec.may_use_spot):
+def may_run_in(spec: Job, pool: PoolState) -> bool:
+    """Return whether the job's tasks may run in the pool."""
+    if not fits_machine_type(spec, pool.type_info) or (pool.spot and not spec.may_use_spot):
         return False
-    return not spec.spread_zones or len(pool.kind.zones) >= ZONES_APART
+    return not spec.spread_zones or len(pool.type_info.zones) >= MIN_SPREAD_ZONES
 
 
-def fetch_s(spec: Job, pool: PoolState) -> float:
-    """Seconds until the job's image is there."""
-    return spec.image_gb / pool.kind.fetch_gb_per_s if pool.kind.fetch_gb_per_s else 0.0
+def image_fetch_s(spec: Job, pool: PoolState) -> float:
+    """Return the seconds that fetching the job's image takes; 0 if the rate is not known."""
+    return spec.image_gb / pool.type_info.fetch_gb_per_s if pool.type_info.fetch_gb_per_s else 0.0
 
 
-def pool_wait(spec: Job, tasks: int, pool: PoolState) -> float:
-    """Expected seconds until so many of the job's tasks start in the pool."""
-    slots = tasks * slots_of_task(spec, pool.kind)
-    lacking = slots + pool.ahead - pool.free
-    if lacking <= 0:
-        # There is room now; the less, the more likely it is gone on arrival.
-        return pool.steady_s * (slots / pool.free if pool.free else 0.0)
-    wait = LONGEST_S
-    if pool.drain > 0:
-        wait = min(LONGEST_S, pool.steady_s + lacking / pool.drain)
-    if lacking <= pool.growth:
-        wait = min(wait, pool.kind.boot_s * BOOT_FACTOR)
-    return wait
+def estimate_wait_s(spec: Job, task_count: int, pool: PoolState) -> float:
+    """Return the expected seconds until that number of the job's tasks has started in the pool."""
+    slots = task_count * slots_of_task(spec, pool.type_info)
+    missing_slots = slots + pool.queued_slots - pool.free_slots
+    if missing_slots <= 0:
+        # Slots are free now; the fewer, the more likely they are taken before the job arrives.
+        return pool.steady_wait_s * (slots / pool.free_slots if pool.free_slots else 0.0)
+    wait_s = MAX_WAIT_S
+    if pool.freed_slots_per_s > 0:
+        wait_s = min(MAX_WAIT_S, pool.steady_wait_s + missing_slots / pool.freed_slots_per_s)
+    if missing_slots <= pool.growth_slots:
+        wait_s = min(wait_s, pool.type_info.boot_s * BOOT_TIME_FACTOR)
+    return wait_s
 
 
-class Pools:
-    """The pools of one cell, filled step by step by what is on its way to them."""
+class PoolEstimator:
+    """Estimates waits in the pools of one cell, to which the load of jobs is added one by one.
+
+    Attributes:
+        states: State of each pool, with the added load.
+    """
 
     def __init__(self, states: Iterable[PoolState]) -> None:
         self.states = list(states)
 
-    def best(self, spec: Job, tasks: int) -> Expectation | None:
-        """The shortest expected wait of the job's tasks, and where; None: no pool may run it."""
-        found: Expectation | None = None
-        for at, pool in enumerate(self.states):
-            if not may_use(spec, pool):
+    def find_shortest_wait(self, spec: Job, task_count: int) -> ExpectedWait | None:
+        """Return the shortest expected wait of the job's tasks; None if no pool may run them."""
+        shortest: ExpectedWait | None = None
+        for index, pool in enumerate(self.states):
+            if not may_run_in(spec, pool):
                 continue
-            wait = pool_wait(spec, tasks, pool)
-            if found is None or wait < found.wait:
-                found = Expectation(wait, at)
-        return found
-
-    def take(self, at: int, spec: Job, tasks: int) -> None:
-        """The job is on its way to this pool."""
-        pool = self.states[at]
-        left = pool.free - tasks * slots_of_task(spec, pool.kind)
-        self.states[at] = pool._replace(free=max(0.0, left), ahead=pool.ahead + max(0.0, -left))
+            wait_s = estimate_wait_s(spec, task_count, pool)
+            if shortest is None or wait_s < shortest.wait_s:
+                shortest = ExpectedWait(wait_s, index)
+        return shortest
+
+    def add_load(self, pool_index: int, spec: Job, task_count: int) -> None:
+        """Add the load of the job's tasks to a pool."""
+        pool = self.states[pool_index]
+        free_after = pool.free_slots - task_count * slots_of_task(spec, pool.type_info)
+        self.states[pool_index] = pool._replace(
+            free_slots=max(0.0, free_after), queued_slots=pool.queued_slots + max(0.0, -free_after)
+        )
