--- a/tests/production.py
+++ b/tests/production.py
@@ -1,8 +1,8 @@
-"""The version in production beside the one under test, both in one process.
+"""Import the version in production next to the version under test, in one process.
 
-Its sources come from this repository's own history, at the commit that
-`deploy/service.toml` names, and are imported under another package name. Without that
-history nothing here can be shown, so it fails and is not skipped.
+The production sources are read from this repository's git history, at the commit named
+in `deploy/service.toml`, and imported under another package name. If the history lacks
+that commit, the tests fail instead of being skipped.
 """
 
 import importlib
@@ -18,21 +18,25 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-NAME = "coursefold_in_production"
-IMPORT = re.compile(r"^(\s*(?:from|import) )coursefold\b", re.MULTILINE)
+PRODUCTION_PACKAGE = "coursefold_in_production"
+IMPORT_PATTERN = re.compile(r"^(\s*(?:from|import) )coursefold\b", re.MULTILINE)
 
 
 class Version(SimpleNamespace):
-    """What a simulated controller needs of one version's modules."""
+    """The modules and classes of one version that a simulated controller uses.
+
+    The effect classes are further attributes, named by the keys of `EFFECT_NAMES`.
+    """
 
     name: str
     Core: Any
     Settings: Any
     records: Any
-    codec: Any  # in production's time a part of `records`
+    codec: Any  # the same module as `records` in a version without `storage.codec`
 
 
 def _version(name: str, package: str) -> Version:
+    """Import the modules of a version from its package."""
     effects = importlib.import_module(f"{package}.coordination.effects")
     records = importlib.import_module(f"{package}.storage.records")
     has_codec = importlib.util.find_spec(f"{package}.storage.codec") is not None
@@ -43,11 +47,15 @@
         records=records,
         codec=importlib.import_module(f"{package}.storage.codec") if has_codec else records,
         view=importlib.import_module(f"{package}.storage.view"),
-        **{kind: getattr(effects, old if package == NAME else kind) for kind, old in KINDS.items()},
+        **{
+            new: getattr(effects, old if package == PRODUCTION_PACKAGE else new)
+            for new, old in EFFECT_NAMES.items()
+        },
     )
 
 
-# New names of attributes that tests use on both versions: module, class, new name, old name.
+# Attributes that tests use on both versions, with their name in production:
+# module -> class -> name in this version -> name in production.
 ALIASES: dict[str, dict[str, dict[str, str]]] = {
     "coordination.context": {
         "Context": {
@@ -105,31 +113,32 @@
     },
 }
 
-# The same for functions of modules: module, new name, old name.
+# Functions that tests use on both versions: module -> name in this version -> name in production.
 FUNCTION_ALIASES: dict[str, dict[str, str]] = {
     "storage.records": {"decode_record": "parse", "encode_record": "dump"},
 }
 
 
-def _alias(old: str) -> property:
-    return property(lambda self: getattr(self, old), lambda self, to: setattr(self, old, to))
+def _make_alias(old: str) -> property:
+    """Return a property that reads and writes the attribute named `old`."""
+    return property(lambda self: getattr(self, old), lambda self, value: setattr(self, old, value))
 
 
 def _add_aliases() -> None:
-    """Give production's classes the names that this version has for the same attributes."""
+    """Add the names of this version to the classes and modules of the production version."""
     for module, classes in ALIASES.items():
         for name, attributes in classes.items():
-            kind = getattr(importlib.import_module(f"{NAME}.{module}"), name)
+            aliased_class = getattr(importlib.import_module(f"{PRODUCTION_PACKAGE}.{module}"), name)
             for new, old in attributes.items():
-                setattr(kind, new, _alias(old))
+                setattr(aliased_class, new, _make_alias(old))
     for module, functions in FUNCTION_ALIASES.items():
-        source = importlib.import_module(f"{NAME}.{module}")
+        source = importlib.import_module(f"{PRODUCTION_PACKAGE}.{module}")
         for new, old in functions.items():
             setattr(source, new, getattr(source, old))
 
 
-# Effects by their names here, and their names in production.
-KINDS = {
+# Effect classes: name in this version -> name in production.
+EFFECT_NAMES = {
     "CloudCall": "CloudCall",
     "NotifyPeers": "Tell",
     "ReadJobResult": "Read",
@@ -141,37 +150,49 @@
 
 
 def commit() -> str:
-    """The commit that runs in production."""
+    """Return the id of the commit that runs in production, from `deploy/service.toml`."""
     text = (ROOT / "deploy" / "service.toml").read_text(encoding="utf-8")
     return str(tomllib.loads(text)["production"])
 
 
 def _unpack(into: Path) -> None:
+    """Write the production package, under its other name, into a directory.
+
+    Raises:
+        AssertionError: the git history lacks the commit.
+    """
     command = ["git", "-C", str(ROOT), "archive", commit(), "coursefold"]
-    made = subprocess.run(command, capture_output=True, check=False)
-    if made.returncode:
-        raise AssertionError(f"production's sources: {made.stderr.decode().strip()}")
-    with tarfile.open(fileobj=io.BytesIO(made.stdout)) as archive:
+    archived = subprocess.run(command, capture_output=True, check=False)
+    if archived.returncode:
+        raise AssertionError(
+            f"cannot read the production sources: {archived.stderr.decode().strip()}"
+        )
+    with tarfile.open(fileobj=io.BytesIO(archived.stdout)) as archive:
         for member in archive.getmembers():
             source = archive.extractfile(member)
             if source is None or not member.name.endswith(".py"):
                 continue
-            path = into / NAME / Path(member.name).relative_to("coursefold")
+            path = into / PRODUCTION_PACKAGE / Path(member.name).relative_to("coursefold")
             path.parent.mkdir(parents=True, exist_ok=True)
-            # Each version's messages are those of its own time, so they have a pool of their own.
+            # Both versions register protobuf messages under the same names, so production's
+            # messages need a descriptor pool of their own.
             text = source.read().decode().replace("_pool.Default()", "_pool.DescriptorPool()")
-            path.write_text(IMPORT.sub(rf"\1{NAME}", text), encoding="utf-8")
+            path.write_text(IMPORT_PATTERN.sub(rf"\1{PRODUCTION_PACKAGE}", text), encoding="utf-8")
+
 
+def production(directory: Path) -> Version:
+    """Return the version in production.
 
-def production(folder: Path) -> Version:
-    """Production's modules, unpacked into an empty folder at the first call."""
-    if NAME not in sys.modules:
-        _unpack(folder)
-        sys.path.insert(0, str(folder))
+    The first call unpacks its package into `directory`, which must be empty, and adds the
+    aliases; later calls use the modules that are already imported.
+    """
+    if PRODUCTION_PACKAGE not in sys.modules:
+        _unpack(directory)
+        sys.path.insert(0, str(directory))
         try:
-            importlib.import_module(NAME)
+            importlib.import_module(PRODUCTION_PACKAGE)
             _add_aliases()
-            return _version("production", NAME)
+            return _version("production", PRODUCTION_PACKAGE)
         finally:
-            sys.path.remove(str(folder))
-    return _version("production", NAME)
+            sys.path.remove(str(directory))
+    return _version("production", PRODUCTION_PACKAGE)
