--- a/tests/world.py
+++ b/tests/world.py
@@ -1,8 +1,9 @@
-"""One controller's core in simulated time, against stand-ins; what traces drive.
+"""Run the core of one controller in simulated time against stand-ins.
 
-The world does what `coursefold.service` does, without sockets: it sends the
-core's transactions to the stand-in state service, brings the news back, lets
-the cloud answer, and ticks four times a second.
+`World` replaces `coursefold.service` without using sockets: it commits the core's
+transactions to the stand-in state service, applies the resulting changes to the view,
+answers cloud calls, and calls `tick` four times per simulated second. The traces in
+`tests/traces` are executed with it.
 """
 
 from typing import Any
@@ -26,7 +27,7 @@
 from coursefold.storage.records import Ending
 from tests.standins.state import StateStore
 
-EPOCH = 1_700_000_000.0
+EPOCH = 1_700_000_000.0  # wall time at simulated time 0
 LEASE_MS = 3000
 
 SETTINGS: dict[str, Any] = {
@@ -78,12 +79,28 @@
 
 
 class World:
-    """A controller `n0`, its surroundings, and the clock."""
+    """The controller `n0`, a state service, a cloud, and the simulated clock.
+
+    Attributes:
+        now: Simulated time in seconds.
+        state: How the state service behaves: "up"; "down" (503 to every request); "lost"
+            (commits are carried out but the response is lost); "mute" (nothing is carried
+            out and no request gets a response).
+        cloud: How the cloud behaves: "up"; "down" (503 to every call); "full" (503 to
+            rentals); "mute" (machines are rented but the response is lost).
+        rentals: Names of the rented machines, by rental id.
+        calls: Cloud calls so far, as verb and body.
+        returned: Names of the machines that were returned.
+        listed: Entries of the cloud's machine list, by machine name.
+        answers: Responses of the core, by ticket.
+        sent_commands: Commands sent to the workers' own addresses.
+        seen_revision: Revision up to which the view is loaded; -1 before the first load.
+    """
 
     def __init__(self) -> None:
         self.store = StateStore()
         self.now = 0.0
-        self.state = "up"  # up, down (503), lost (carried out, no answer), mute (nothing)
+        self.state = "up"
         self.cloud = "up"
         self.rentals: dict[str, list[str]] = {}
         self.calls: list[tuple[str, dict[str, Any]]] = []
@@ -101,7 +118,7 @@
         return msgspec.convert(CATALOG, Catalog)
 
     def restart(self) -> None:
-        """The process was killed and starts again with nothing in memory."""
+        """Replace the controller's process by a new one that has nothing in memory."""
         self.core = Core(msgspec.convert(SETTINGS, Settings))
         self.seen_revision = -1
         self.run(self.now + 0.5)
@@ -109,11 +126,12 @@
     # Time
 
     def enter(self) -> Core:
+        """Set the core's clocks to the current time and return the core."""
         self.core.set_time(MonotonicTime(100.0 + self.now), WallTime(EPOCH + self.now))
         return self.core
 
     def run(self, until: float) -> None:
-        """Let time pass; four ticks a second."""
+        """Advance the clock to `until`, with four ticks a second."""
         while self.now < until - 1e-9:
             self.now = min(until, self.now + 0.25)
             self.enter()
@@ -123,19 +141,24 @@
             self.settle()
 
     def settle(self) -> None:
-        """Commits, news and effects until nothing moves."""
+        """Carry out effects, commits and changes of the view until none are left.
+
+        Raises:
+            AssertionError: the core still produces effects after 50 rounds.
+        """
         for _ in range(50):
-            moved = self._carry_out_effects()
-            moved |= self._commit()
+            has_progress = self._carry_out_effects()
+            has_progress |= self._commit()
             self._watch()
-            if not moved:
+            if not has_progress:
                 return
-        raise AssertionError("the core never comes to rest")
+        raise AssertionError("the core still produces effects after 50 rounds")
 
     def _mark_state_ok(self) -> None:
         self.core.ctx.state_ok_at = MonotonicTime(100.0 + self.now)
 
     def _renew_lease(self) -> None:
+        """Renew the controller's lease at the state service, or obtain a new one."""
         ctx = self.core.ctx
         self.store.expire(self.now) if self.state == "up" else None
         if self.state != "up":
@@ -146,22 +169,26 @@
         self._mark_state_ok()
 
     def _watch(self) -> None:
+        """Load the view, or apply the changes since the revision last seen."""
         if self.state != "up":
             return
         view = self.core.view
         if self.seen_revision < 0:
-            rows = [r for r in self.store.rows(records.ROOT) if "/e/" not in r["K"]]
-            view.reload([(r["K"], r["Value"], r["Stamp"]) for r in rows], self.store.revision)
+            rows = [row for row in self.store.rows(records.ROOT) if "/e/" not in row["K"]]
+            view.reload(
+                [(row["K"], row["Value"], row["Stamp"]) for row in rows], self.store.revision
+            )
         else:
-            for item in self.store.since(self.seen_revision, records.ROOT):
-                if "Set" in item:
-                    view.apply_value(item["Set"], item["Value"], item["Stamp"])
+            for change in self.store.since(self.seen_revision, records.ROOT):
+                if "Set" in change:
+                    view.apply_value(change["Set"], change["Value"], change["Stamp"])
                 else:
-                    view.apply_removal(item["Remove"], item["Stamp"])
+                    view.apply_removal(change["Remove"], change["Stamp"])
         self.seen_revision = view.revision = self.store.revision
         self.core.ctx.watch_ok_at = MonotonicTime(100.0 + self.now)
 
     def _commit(self) -> bool:
+        """Send the next batch of the commit queue and return whether anything happened."""
         queue = self.core.queue
         now = MonotonicTime(100.0 + self.now)
         reread = False
@@ -196,9 +223,10 @@
         return True
 
     def _carry_out_effects(self) -> bool:
-        moved = False
+        """Return whether there was an effect other than `NotifyPeers`."""
+        has_effects = False
         for effect in self.core.take_effects():
-            moved |= not isinstance(effect, NotifyPeers)
+            has_effects |= not isinstance(effect, NotifyPeers)
             if isinstance(effect, Response):
                 self.answers[effect.ticket] = effect
             elif isinstance(effect, RefreshView):
@@ -209,7 +237,7 @@
                 self.sent_commands.append(effect)
             elif isinstance(effect, CloudCall):
                 self._answer_cloud_call(effect)
-        return moved
+        return has_effects
 
     def _read_job_result(self, read: ReadJobResult) -> None:
         if self.state != "up":
@@ -247,9 +275,9 @@
             while len(names) < body["Count"]:
                 name = f"i-{sum(map(len, self.rentals.values())):06d}"
                 names.append(name)
-                kind = {key: body[key] for key in ("Build", "Site", "Loaners")}
-                box = {"NameId": name, "Addr": "10.0.0.9:9000", "Status": "starting"}
-                self.listed[name] = box | kind | {"HeldS": 0.0}
+                pool = {key: body[key] for key in ("Build", "Site", "Loaners")}
+                machine = {"NameId": name, "Addr": "10.0.0.9:9000", "Status": "starting"}
+                self.listed[name] = machine | pool | {"HeldS": 0.0}
             if self.cloud != "mute":
                 self.core.receive_cloud_response(call.call_id, 200, encode({"Boxes": names}))
         elif call.verb == "return":
@@ -258,10 +286,14 @@
                 self.listed.pop(name, None)
             self.core.receive_cloud_response(call.call_id, 200, encode({}))
 
-    # Inputs
+    # Requests and frames
 
     def ask(self, send: Any) -> Response | None:
-        """One request; its answer if there is one by now."""
+        """Send a request and return its response, or None if the core defers it.
+
+        Args:
+            send: Called with the ticket of the request; calls the core.
+        """
         self.last_ticket += 1
         self.enter()
         send(self.last_ticket)
@@ -269,6 +301,7 @@
         return self.answers.get(self.last_ticket)
 
     def submit(self, name: str, **fields: Any) -> Response | None:
+        """Submit `JOB` under a name, with some of its fields replaced."""
         body = encode(JOB | {"NameId": name} | fields)
         return self.ask(lambda ticket: self.core.submit(body, ticket))
 
@@ -279,6 +312,7 @@
         return self.ask(lambda ticket: self.core.cancel(name, ticket))
 
     def report(self, machine: str, tasks: list[dict[str, Any]], **fields: Any) -> Response | None:
+        """Send a worker's report, with some of its fields replaced."""
         body = {
             "Box": machine, "Addr": "10.0.0.9:9000", "Build": "g2", "Site": "a", "Loaners": False,
             "Shift": 1, "Counter": 1, "Baton": self.core.view.fencing_token, "RecallS": None,
@@ -287,13 +321,14 @@
         return self.ask(lambda ticket: self.core.handle_report(encode(body), ticket))
 
     def peer(self, frame: bytes) -> None:
+        """Deliver a frame of a sibling."""
         self.enter().receive_frame(frame)
         self.settle()
 
     def join(self, member: str, zone: str) -> None:
-        """Another controller joins, and holds its lease."""
-        permit = self.store.grant(self.now, 3_600_000)
-        self.store.set(records.MEMBER_PREFIX + member, [member, permit, zone], permit)
+        """Register another controller, with a lease of one hour, at the state service."""
+        lease_id = self.store.grant(self.now, 3_600_000)
+        self.store.set(records.MEMBER_PREFIX + member, [member, lease_id, zone], lease_id)
 
     def peer_frame(
         self,
@@ -305,11 +340,18 @@
         lacks: int = 0,
         newer: int = 0,
     ) -> bytes:
-        """A summary as a sibling would send it now.
-
-        `told` are the cancellations that it hands over, by how far ahead of our records each
-        is; None is an older version, which says nothing of them. `lacks` revisions after ours
-        it was not asked for, and its roster is `newer` than ours.
+        """Return the frame with a full summary that a sibling would send now.
+
+        Args:
+            member: Name of the sibling.
+            state_age: Seconds since the sibling last heard from the state service.
+            version: Protocol version of the frame.
+            lease_id: The lease that identifies the sibling's process.
+            cancellations: Cancelled jobs that the frame lists, each with the number of
+                revisions by which the cancellation is ahead of the start of the list; None for
+                an older version, whose summary has no such list.
+            lacks: Number of revisions after the receiver's own that the list does not cover.
+            newer: By how much the sibling's roster revision is ahead of the receiver's.
         """
         self.frame_count += 1
         envelope = peer_pb2.Envelope(
@@ -328,9 +370,9 @@
         return envelope.SerializeToString()
 
     def take_over(self, leader: str, zone: str) -> None:
-        """Another node becomes the only member of the roster."""
-        permit = self.store.grant(self.now, 3_600_000)
-        member = [leader, permit, zone]
-        self.store.set(records.MEMBER_PREFIX + leader, member, permit)
+        """Make another controller the leader and the only member of the roster."""
+        lease_id = self.store.grant(self.now, 3_600_000)
+        member = [leader, lease_id, zone]
+        self.store.set(records.MEMBER_PREFIX + leader, member, lease_id)
         self.store.set(str(records.ROSTER_KEY), [leader, [member]])
         self._watch()
