--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,8 +1,8 @@
-"""Several controllers, hundreds of workers, a cloud and a state service in simulated time.
+"""Simulate a cluster: controllers, hundreds of workers, a cloud and a state service.
 
-Everything random comes from one seed and events are played in order, so that a
-run repeats exactly. Troubles are set by the caller. The protocol's rules are
-checked whenever a task starts, a user is answered or a limit could be passed.
+All random values come from one seed and events are executed in order of their time, so
+that a run can be repeated exactly. The test sets the faults. The rules of the protocol are
+checked whenever a task starts and whenever a user gets a response.
 """
 
 import heapq
@@ -32,7 +32,41 @@
 
 
 class Fleet:
-    """The world; `run` plays it and checks the rules."""
+    """A simulated cluster with one clock.
+
+    `run` executes the events up to a point in time. It raises `RuleBrokenError` when a rule of
+    the protocol is broken. Times are in simulated seconds.
+
+    Attributes:
+        size: Number of controllers.
+        sent_changes: Number of changes in the transactions sent, by version.
+        refused_transaction_count: Transactions that the state service rejected as invalid.
+        outage_until: The state service is unavailable to all controllers until then.
+        cloud_down_until: The cloud answers 503 until then.
+        peers_refused_until: Controllers can't connect to each other until then.
+        leases_extended_at: End of the last outage of the state service after which all leases
+            got their full duration again.
+        lost_commits: Share of commits whose response is lost.
+        duplicate_share: Share of workers' reports of which a late copy is delivered.
+        kept_share: Share of workers' reports that are added to `kept_reports`.
+        kept_reports: Copies of reports, delivered later by `deliver_kept_reports`.
+        cancel_at_end_share: Share of ending tasks whose job is cancelled at that moment.
+        quick_boot_share: Share of machines that boot_s within 2 s.
+        request_sent_at: When the request was sent whose response is being handled.
+        rechecks_answers: Whether each new status of a job is checked at every controller.
+        rechecked_count: Number of responses to these checks.
+        cancelled_at_end_count: Number of jobs cancelled while one of their tasks ended.
+        rejected_job_count: Number of invalid jobs that were rejected as required.
+        runs_after_cancellation: Run commands for jobs whose cancellation had been confirmed:
+            seconds since the confirmation, and the job.
+        cut_zone: Zone that is cut off from the others until `zone_cut_until`.
+        capacity: Machines that the cloud can still rent out, by zone and spot.
+        rentals: Names of the rented machines, by rental id.
+        placed_tasks: The tasks that are on a machine, with their worker, by task name.
+        gpus_in_use: Accelerators used, by team.
+        gpu_limits: Accelerators that a team may use at most; 0 means no limit.
+        started_count: Number of task starts.
+    """
 
     def __init__(
         self,
@@ -55,24 +89,22 @@
         self.store = StateStore()
         self.store.set(records.CATALOG_KEY, msgspec.to_builtins(self._catalog()))
         self.outage_until = self.cloud_down_until = self.peers_refused_until = 0.0
-        self.leases_extended_at = (
-            0.0  # the end of the last outage after which leases were given their time
-        )
+        self.leases_extended_at = 0.0
         self.lost_commits = self.duplicate_share = 0.0
         self.kept_share = self.cancel_at_end_share = self.quick_boot_share = 0.0
-        self.kept_reports: list[bytes] = []  # copies of reports for the next leader
-        self.request_sent_at = 0.0  # when the question was asked whose answer comes in
+        self.kept_reports: list[bytes] = []
+        self.request_sent_at = 0.0
         self.rechecks_answers = False
         self.rechecked_count = self.cancelled_at_end_count = self.rejected_job_count = 0
         self.runs_after_cancellation: list[tuple[float, str]] = []
         self.cut_zone, self.zone_cut_until = "", 0.0
-        self.capacity = {(z, spot): capacity // 4 for z in ZONES for spot in (False, True)}
+        self.capacity = {(zone, spot): capacity // 4 for zone in ZONES for spot in (False, True)}
         self.workers: dict[str, Worker] = {}
         self.rentals: dict[str, list[str]] = {}
         self.jobs: dict[str, UserJob] = {}
         self.placed_tasks: dict[str, tuple[Worker, Task]] = {}
         self.gpus_in_use: dict[str, float] = {}
-        self.gpu_limits = {t["name"]: t["gpus_max"] for t in self.params["teams"]}
+        self.gpu_limits = {team["name"]: team["gpus_max"] for team in self.params["teams"]}
         self.started_count = 0
         self.nodes: list[Node] = []
         for number in range(nodes):
@@ -85,15 +117,17 @@
         return msgspec.convert(CATALOG, Catalog)
 
     def node_started(self, node: Node) -> None:
-        """A controller's process has begun, with nothing in memory."""
+        """Hook for subclasses, called when a controller's process starts."""
 
     # Time
 
     def after(self, delay: float, work: Callable[[], object]) -> None:
+        """Schedule a call `delay` seconds from now."""
         self.event_count += 1
         heapq.heappush(self.events, (self.now + delay, self.event_count, work))
 
     def run(self, until: float) -> None:
+        """Execute all events up to the time `until`."""
         while self.events and self.events[0][0] <= until:
             self.now, _, work = heapq.heappop(self.events)
             work()
@@ -105,35 +139,45 @@
         self,
         node: int,
         send: Callable[[Any, int], None],
-        back: Callable[[Response | None], None],
-        hears: Callable[[], bool],
+        on_response: Callable[[Response | None], None],
+        can_receive: Callable[[], bool],
     ) -> None:
-        """A request to a node and its answer, each a little later."""
+        """Send a request to a controller; the request and its response take up to 10 ms each.
+
+        Args:
+            node: Number of the controller.
+            send: Calls the core with the ticket of the request.
+            on_response: Called with the response, or with None if the controller is down.
+            can_receive: Returns whether the client can receive a response now.
+        """
         asked_at = self.now
 
         def answered(answer: Response | None) -> None:
-            if hears():
+            if can_receive():
                 self.request_sent_at = asked_at
-                back(answer)
+                on_response(answer)
 
         def arrive() -> None:
-            there = self.nodes[node]
-            if there.up and there.defer_while_frozen(arrive):
+            controller = self.nodes[node]
+            if controller.up and controller.defer_while_frozen(arrive):
                 return
-            if not there.up:
-                self.after(0.001, lambda: back(None) if hears() else None)
+            if not controller.up:
+                self.after(0.001, lambda: on_response(None) if can_receive() else None)
                 return
-            there.tickets += 1
-            there.pending_requests[there.tickets] = lambda answer: self.after(
+            controller.tickets += 1
+            controller.pending_requests[controller.tickets] = lambda answer: self.after(
                 self.rng.uniform(0.001, 0.01), lambda: answered(answer)
             )
-            send(there.enter(), there.tickets)
-            there.flush()
+            send(controller.enter(), controller.tickets)
+            controller.flush()
 
         self.after(self.rng.uniform(0.001, 0.01), arrive)
 
     def maybe_duplicate_report(self, worker: Worker, body: bytes) -> None:
-        """Now and then a copy of a report comes late, anywhere; nobody hears its answer."""
+        """Deliver a late copy of some reports to any controller, and keep copies of some.
+
+        The responses to these copies are dropped.
+        """
         if self.rng.random() < self.duplicate_share:
             node = self.rng.randrange(self.size)
             delay = self.rng.choice([0.5, 3.0, 9.0, 25.0]) * self.rng.uniform(0.8, 1.5)
@@ -148,7 +192,10 @@
             self.kept_reports.append(body)
 
     def deliver_kept_reports(self) -> int:
-        """What was kept of reports reaches every controller at once; nobody hears the answers."""
+        """Send the kept reports to every controller and return their number.
+
+        The responses are dropped.
+        """
         kept, self.kept_reports = self.kept_reports, []
         for body in kept:
             for number in range(self.size):
@@ -161,7 +208,7 @@
         return len(kept)
 
     def zone_delay_s(self, one: str, other: str) -> float:
-        """How long a message between two zones is held back."""
+        """Return for how long a message between two zones is delayed; 0 without a cut."""
         return (
             self.zone_cut_until - self.now
             if (one == self.cut_zone) != (other == self.cut_zone)
@@ -169,13 +216,14 @@
         )
 
     def can_connect(self, node: Node, other: int) -> bool:
-        there = self.nodes[other]
-        cut = max(node.cut_until, there.cut_until, self.peers_refused_until)
-        return there.up and self.now >= cut
+        """Return whether a controller can send frames to another one now."""
+        target = self.nodes[other]
+        cut = max(node.cut_until, target.cut_until, self.peers_refused_until)
+        return target.up and self.now >= cut
 
-    def send_commands(self, node: Node, sent: SendCommands) -> None:
-        """Commands to a worker's own address: late, lost or twice at times."""
-        worker = self.workers.get(sent.address)
+    def send_commands(self, node: Node, commands: SendCommands) -> None:
+        """Send commands to a worker's own address; some come late, get lost or come twice."""
+        worker = self.workers.get(commands.address)
 
         def arrive() -> None:
             if worker is not None and worker.defer_while_hung(arrive):
@@ -187,10 +235,10 @@
             ):
                 return
             worker.expire_lease()
-            if sent.token >= worker.token and sent.session == worker.session:
-                worker.token = max(worker.token, sent.token)
+            if commands.token >= worker.token and commands.session == worker.session:
+                worker.token = max(worker.token, commands.token)
                 worker.sequence += 1
-                worker.execute(sent.commands)
+                worker.execute(commands.commands)
 
         for _ in range(self.rng.choice([1, 1, 1, 2])):
             self.after(self.rng.choice([0.005, 0.005, 0.005, 6.0]), arrive)
@@ -198,15 +246,20 @@
     # Cloud
 
     def cloud_call(self, node: Node, call: CloudCall) -> None:
-        life = node.incarnation
+        """Carry out a controller's cloud call; the response comes 0.2 s later."""
+        incarnation = node.incarnation
 
         def answer(status: int, body: Any) -> None:
-            def back() -> None:
-                if node.incarnation == life and node.up and not node.defer_while_frozen(back):
+            def deliver() -> None:
+                if (
+                    node.incarnation == incarnation
+                    and node.up
+                    and not node.defer_while_frozen(deliver)
+                ):
                     node.enter().receive_cloud_response(call.call_id, status, encode(body))
                     node.flush()
 
-            self.after(0.2, back)
+            self.after(0.2, deliver)
 
         if self.now < max(self.cloud_down_until, node.cut_until):
             answer(503, {"error": "trouble"})
@@ -217,48 +270,53 @@
         elif call.verb == "hire":
             self._hire(call.body, answer)
         else:
-            for id in call.body["Boxes"]:
-                worker = self.workers.get(id)
+            for name in call.body["Boxes"]:
+                worker = self.workers.get(name)
                 if worker is not None and not worker.gone:
                     worker.kill()
                     self.capacity[(worker.zone, worker.spot)] += 1
             answer(200, {})
 
     def _list(self, body: dict[str, Any]) -> dict[str, Any]:
-        lag = LIST_LAG_S * self.rng.uniform(0.5, 2.0)
+        """Return a page of the machine list as it was some seconds ago."""
+        lag_s = LIST_LAG_S * self.rng.uniform(0.5, 2.0)
         rows = [
             {
-                "NameId": w.id, "Addr": w.id, "Build": "g2", "Site": w.zone, "Loaners": w.spot,
-                "Status": "running" if self.now - lag >= w.up_at else "starting",
-                "HeldS": max(0.0, self.now - lag - w.up_at + BOOT_S),
+                "NameId": worker.id, "Addr": worker.id, "Build": "g2", "Site": worker.zone,
+                "Loaners": worker.spot,
+                "Status": "running" if self.now - lag_s >= worker.up_at else "starting",
+                "HeldS": max(0.0, self.now - lag_s - worker.up_at + BOOT_S),
             }
-            for w in self.workers.values()
-            if not w.gone and self.now - lag >= w.up_at - BOOT_S and w.id > body.get("From", "")
+            for worker in self.workers.values()
+            if not worker.gone
+            and self.now - lag_s >= worker.up_at - BOOT_S
+            and worker.id > body.get("From", "")
         ]  # fmt: skip
         rows.sort(key=lambda row: str(row["NameId"]))
         page = body["Page"]
         return {"Boxes": rows[:page], "More": len(rows) > page}
 
     def _hire(self, body: dict[str, Any], answer: Callable[[int, Any], None]) -> None:
+        """Rent out machines; a repeated rental id gets the same machines again."""
         if body["Hire"] in self.rentals:
             answer(200, {"Boxes": self.rentals[body["Hire"]]})
             return
-        place = (body["Site"], body["Loaners"])
-        count = min(body["Count"], self.capacity[place], 50)
+        pool = (body["Site"], body["Loaners"])
+        count = min(body["Count"], self.capacity[pool], 50)
         if count <= 0:
             answer(503, {"error": "no capacity"})
             return
-        self.capacity[place] -= count
+        self.capacity[pool] -= count
         names = []
         for _ in range(count):
-            id = f"i-{len(self.workers):06d}"
-            boot = BOOT_S * self.rng.uniform(0.6, 1.5)
+            name = f"i-{len(self.workers):06d}"
+            boot_s = BOOT_S * self.rng.uniform(0.6, 1.5)
             if self.rng.random() < self.quick_boot_share:
-                boot = self.rng.uniform(0.3, 2.0)
-            worker = Worker(self, id, body["Site"], body["Loaners"], self.now + boot)
-            self.workers[id] = worker
-            self.after(boot, worker.report)
-            names.append(id)
+                boot_s = self.rng.uniform(0.3, 2.0)
+            worker = Worker(self, name, body["Site"], body["Loaners"], self.now + boot_s)
+            self.workers[name] = worker
+            self.after(boot_s, worker.report)
+            names.append(name)
         self.rentals[body["Hire"]] = names
         answer(200, {"Boxes": names})
 
@@ -267,7 +325,14 @@
     def submit(
         self, name: str, run_s: float, cancel_at: float | None = None, **fields: Any
     ) -> None:
-        """A user submits a job, polls it, and may cancel it."""
+        """Start a user that submits a job and polls it until it has ended.
+
+        Args:
+            name: Name of the job.
+            run_s: How long each task runs.
+            cancel_at: Seconds from now after which the user cancels the job.
+            fields: Fields of the job description that differ from `JOB`.
+        """
         job = self.jobs[name] = UserJob(name, JOB | {"NameId": name} | fields, run_s)
         job.needs = [self.jobs[need] for need in fields.get("Prereqs", ())]
         user = User(self, job)
@@ -276,92 +341,102 @@
             self.after(cancel_at, user.cancel)
 
     def ask(
-        self, send: Callable[[Core, int], None], back: Callable[[Response | None], None]
+        self, send: Callable[[Core, int], None], on_response: Callable[[Response | None], None]
     ) -> None:
+        """Send a user's request to any healthy controller.
+
+        `on_response` is called once: with the response, or with None after 3 s, or after 1 s if
+        no controller is healthy.
+        """
         healthy = [n.number for n in self.nodes if n.up and n.enter().is_healthy()]
         if not healthy:
-            self.after(1.0, lambda: back(None))
+            self.after(1.0, lambda: on_response(None))
             return
-        asked = [False]
+        is_handled = [False]
 
-        def once(answer: Response | None) -> None:
-            if not asked[0]:
-                asked[0] = True
-                back(answer)
+        def handle_first(answer: Response | None) -> None:
+            if not is_handled[0]:
+                is_handled[0] = True
+                on_response(answer)
 
-        self.request(self.rng.choice(healthy), send, once, lambda: True)
-        self.after(3.0, lambda: once(None))
+        self.request(self.rng.choice(healthy), send, handle_first, lambda: True)
+        self.after(3.0, lambda: handle_first(None))
 
     def record_answer(self, job: UserJob, answer: Response) -> None:
+        """Check a job's status in a response against its tasks and earlier responses."""
         status = answer.body["Status"]
         job.answered_at = self.now
         if job.accepted_at < 0:
             job.accepted_at = self.now
         if job.has_ended() and status != job.told_status:
             if status not in ("done", "cancelled") and self.request_sent_at <= job.ended_at:
-                return  # asked before, and overtaken on its way
-            raise RuleBrokenError(f"{job.name}: {job.told_status} and now {status}")
+                return  # the request was sent before the user was told that the job had ended
+            raise RuleBrokenError(f"{job.name}: the status {job.told_status} changed to {status}")
         if status == "done" and not job.complete():
-            raise RuleBrokenError(f"{job.name}: called done with {len(job.done)} of {job.size}")
+            raise RuleBrokenError(
+                f"{job.name}: reported as done with {len(job.done)} of {job.size} tasks"
+            )
         if status == "cancelled":
             if not job.cancel_requested and not self._has_cancelled_prerequisite(job):
-                raise RuleBrokenError(f"{job.name}: cancelled by nobody")
+                raise RuleBrokenError(f"{job.name}: cancelled without a request for it")
             if job.cancelled_at < 0:
                 job.cancelled_at = self.now
                 self.after(self.timing["cancel_s"] + 0.01, lambda: self._check_stopped(job))
-        new, job.told_status = status != job.told_status, status
-        if new and job.has_ended():
+        is_new, job.told_status = status != job.told_status, status
+        if is_new and job.has_ended():
             job.ended_at = self.now
-        if new and self.rechecks_answers:
+        if is_new and self.rechecks_answers:
             self._recheck(job)
 
     def _recheck(self, job: UserJob) -> None:
-        """Ask every node at once, twice within milliseconds, and submit it again."""
+        """Poll a job at every controller twice within 4 ms, and submit it there again."""
         body = encode(job.body)
 
-        def seen(answer: Response | None) -> None:
+        def check(answer: Response | None) -> None:
             if answer is None or answer.status in (429, 503):
                 return
             self.rechecked_count += 1
             if answer.status not in (200, 201):
-                raise RuleBrokenError(f"{job.name}: a look is answered {answer.status}")
+                raise RuleBrokenError(f"{job.name}: a repeated request got status {answer.status}")
             self.record_answer(job, answer)
 
         for node in self.nodes:
             for pause in (0.0, 0.004):
                 self.after(
                     pause,
-                    lambda n=node.number: self.request(  # type: ignore[misc]
-                        n, lambda core, t: core.poll(job.name, t), seen, lambda: True
+                    lambda number=node.number: self.request(  # type: ignore[misc]
+                        number, lambda core, t: core.poll(job.name, t), check, lambda: True
                     ),
                 )
-            self.request(node.number, lambda core, t: core.submit(body, t), seen, lambda: True)
+            self.request(node.number, lambda core, t: core.submit(body, t), check, lambda: True)
 
     def task_ending(self, job: UserJob) -> None:
-        """A task ends: at times its job is called off at that very moment."""
+        """Cancel the job of an ending task in a share of cases."""
         if self.rng.random() < self.cancel_at_end_share and not job.cancel_requested:
             self.cancelled_at_end_count += 1
             self.cancel_job(job, self.rng.choice(self.nodes))
 
     def cancel_job(self, job: UserJob, node: Node) -> None:
-        """A user cancels a job at one node, and at another when that one does not answer."""
+        """Cancel a job at one controller, then at others until one confirms it."""
         job.cancel_requested = True
-        asked = [False]
+        is_handled = [False]
 
-        def once(answer: Response | None) -> None:
-            if asked[0]:
+        def handle_first(answer: Response | None) -> None:
+            if is_handled[0]:
                 return
-            asked[0] = True
+            is_handled[0] = True
             if answer is not None and answer.status == 200:
                 self.record_answer(job, answer)
             else:
                 self.after(0.5, lambda: self.cancel_job(job, self.rng.choice(self.nodes)))
 
-        self.request(node.number, lambda core, t: core.cancel(job.name, t), once, lambda: True)
-        self.after(3.0, lambda: once(None))
+        self.request(
+            node.number, lambda core, t: core.cancel(job.name, t), handle_first, lambda: True
+        )
+        self.after(3.0, lambda: handle_first(None))
 
     def submit_invalid_jobs(self, node: Node) -> None:
-        """What can never run, or lacks a field, is never taken; nor is it unknown what is known."""
+        """Submit jobs that can never run or lack a field, and check that each is rejected."""
         number = self.rng.randrange(10_000)
         good = JOB | {"NameId": f"job-7{number:05d}"}
         lacking = {k: v for k, v in good.items() if k != "Vcpus"}
@@ -377,7 +452,7 @@
                     self.rejected_job_count += 1
                     if answer.status != status:
                         raise RuleBrokenError(
-                            f"an odd job is answered {answer.status}, not {status}"
+                            f"an invalid job got status {answer.status}, not {status}"
                         )
 
             self.request(
@@ -388,33 +463,43 @@
             )
 
     def task_stopped(self, order: Command) -> None:
-        """A live task was told to stop."""
+        """Hook for subclasses, called when a worker is commanded to stop a live task."""
 
     def run_received(self, job: UserJob) -> None:
-        """A worker carries out a `run`: of a job whose cancellation was confirmed when?"""
+        """Record a run command for a job whose cancellation was confirmed to its user."""
         if job.told_status == "cancelled" and job.cancel_requested:
             self.runs_after_cancellation.append((self.now - job.cancelled_at, job.name))
 
     def _has_cancelled_prerequisite(self, job: UserJob) -> bool:
-        """Has a user asked to cancel what this job needs? The answer may be on its way."""
+        """Return whether the cancellation of a prerequisite has been requested.
+
+        The request may not be confirmed yet.
+        """
         return any(
             need.cancel_requested or self._has_cancelled_prerequisite(need) for need in job.needs
         )
 
     def _check_stopped(self, job: UserJob) -> None:
+        """Check that no task of a cancelled job is on a machine any more."""
         for worker, task in list(self.placed_tasks.values()):
             if task.job is job:
                 worker.expire_lease()
                 if task.name in self.placed_tasks:
-                    raise RuleBrokenError(f"{task.name} on {worker.id} after its cancellation")
+                    raise RuleBrokenError(
+                        f"{task.name} is still on {worker.id} after its cancellation"
+                    )
 
     # Tasks
 
     def tasks_of(self, job: str) -> set[str]:
+        """Return the names of all tasks of a job; empty if there is no such job."""
         return {f"{job}/{i}" for i in range(self.jobs[job].size)} if job in self.jobs else set()
 
     def task_starts(self, worker: Worker, task: Task) -> None:
-        """A task has its image and is on its machine: the rules are checked first."""
+        """Start a task whose image is on its machine, after checking the rules.
+
+        The tasks of a gang begin to run once all of them are on their machines.
+        """
         self._check_not_elsewhere(worker, task)
         self._check_may_start(task)
         self._check_place(worker, task)
@@ -427,64 +512,79 @@
         if not job.is_gang:
             worker.begin(task, job.run_s * self.rng.uniform(0.8, 1.2))
             return
-        mates = [
+        gang_tasks = [
             (w, t)
             for w, t in self.placed_tasks.values()
             if t.job is job and t.attempt == task.attempt
         ]
-        if len(mates) == job.size:
-            for mate, other in mates:
-                mate.begin(other, job.run_s)
+        if len(gang_tasks) == job.size:
+            for gang_worker, gang_task in gang_tasks:
+                gang_worker.begin(gang_task, job.run_s)
 
     def _check_not_elsewhere(self, worker: Worker, task: Task) -> None:
-        there = self.placed_tasks.get(task.name)
-        if there is not None and there[0] is not worker:
-            there[0].expire_lease()
+        """Check that the task is not on another machine."""
+        placed = self.placed_tasks.get(task.name)
+        if placed is not None and placed[0] is not worker:
+            placed[0].expire_lease()
             if task.name in self.placed_tasks:
-                raise RuleBrokenError(f"{task.name} starts on {worker.id} while on {there[0].id}")
+                raise RuleBrokenError(
+                    f"{task.name} starts on {worker.id} while it is on {placed[0].id}"
+                )
 
     def _check_may_start(self, task: Task) -> None:
+        """Check that the prerequisites are done and the job was not cancelled too long ago."""
         job = task.job
-        early = [need.name for need in job.needs if not need.complete()]
-        if early:
-            raise RuleBrokenError(f"{task.name} starts before {early} are done")
+        unfinished = [need.name for need in job.needs if not need.complete()]
+        if unfinished:
+            raise RuleBrokenError(
+                f"{task.name} starts before its prerequisites {unfinished} are done"
+            )
         if job.cancelled_at >= 0 and self.now > job.cancelled_at + self.timing["cancel_s"]:
             raise RuleBrokenError(f"{task.name} starts after its cancellation")
 
     def _check_place(self, worker: Worker, task: Task) -> None:
+        """Check the job's constraints on spot machines and zones."""
         job, body = task.job, task.job.body
-        for other, there in list(self.placed_tasks.values()):
-            if there.job is job:
-                # A machine that hangs past its lease has lost its tasks, as for `_check_alone`.
-                other.expire_lease()
-        others = [w.zone for w, t in self.placed_tasks.values() if t.job is job and t is not task]
+        for other_worker, placed in list(self.placed_tasks.values()):
+            if placed.job is job:
+                # A machine that hangs for longer than its lease has lost its tasks.
+                other_worker.expire_lease()
+        other_zones = [
+            w.zone for w, t in self.placed_tasks.values() if t.job is job and t is not task
+        ]
         if worker.spot and not body["Loaners"]:
-            raise RuleBrokenError(f"{task.name} on a spot machine")
-        if body["Together"] and any(zone != worker.zone for zone in others):
-            raise RuleBrokenError(f"{task.name}: not together")
-        if body["Apart"] and others.count(worker.zone) + 1 > (job.size + 1) // 2:
-            raise RuleBrokenError(f"{task.name}: not apart")
+            raise RuleBrokenError(f"{task.name} starts on a spot machine, which its job excludes")
+        if body["Together"] and any(zone != worker.zone for zone in other_zones):
+            raise RuleBrokenError(
+                f"{task.name} starts in another zone than the other tasks of its job"
+            )
+        if body["Apart"] and other_zones.count(worker.zone) + 1 > (job.size + 1) // 2:
+            raise RuleBrokenError(
+                f"{task.name}: the tasks of its job are not spread over the zones"
+            )
 
     def _check_gpu_limit(self, job: UserJob) -> None:
+        """Add a task's accelerators to its team's use and check the team's limit."""
         team, gpus = str(job.body["Owner"]), float(job.body["Accelerators"])
         self.gpus_in_use[team] = self.gpus_in_use.get(team, 0.0) + gpus
         if self.gpu_limits.get(team) and self.gpus_in_use[team] > self.gpu_limits[team] + 1e-6:
-            raise RuleBrokenError(f"{team} uses {self.gpus_in_use[team]} GPUs")
+            raise RuleBrokenError(f"{team} uses {self.gpus_in_use[team]} GPUs, more than its limit")
 
     def task_leaves(self, worker: Worker, task: Task) -> None:
-        """A task is no longer on its machine."""
+        """Record that a task is no longer on its machine."""
         if self.placed_tasks.get(task.name, (None, None))[1] is task:
             del self.placed_tasks[task.name]
             self.gpus_in_use[str(task.job.body["Owner"])] -= float(task.job.body["Accelerators"])
 
     def finish_gang(self, task: Task) -> None:
+        """End the other tasks of a gang of which one task has finished."""
         for worker, other in list(self.placed_tasks.values()):
             if other.job is task.job and other.attempt == task.attempt:
                 other.job.done.add(other.number)
                 worker.end(other, "done")
 
     def break_gang(self, task: Task) -> None:
-        """The other tasks of a running gang notice that one is gone."""
+        """Let the other tasks of a gang exit with cause `peers`, 3 s after one was stopped."""
         if task.job.is_gang:
             for worker, other in list(self.placed_tasks.values()):
                 if other.job is task.job and other.attempt == task.attempt:
