--- a/tests/fleet_node.py
+++ b/tests/fleet_node.py
@@ -1,4 +1,4 @@
-"""A controller in the simulated fleet: what `coursefold.service` does, without sockets."""
+"""A controller of the simulated cluster; replaces `coursefold.service` without sockets."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -23,7 +23,18 @@
 
 
 class Node:
-    """What `coursefold.service` does for a core, without sockets."""
+    """One controller: its core and the loops that `coursefold.service` runs for it.
+
+    Attributes:
+        refused_until: The state service refuses this controller until then.
+        cut_until: The controller has no connection to any service or sibling until then.
+        frozen_until: The process is suspended until then.
+        incarnation: Number of the current process; changes with each start and stop.
+        skew: Seconds by which the controller's wall clock is ahead.
+        seen_revision: Revision up to which the view is loaded; -1 before the first load.
+        pending_requests: Functions that take the response, by ticket.
+        in_flight: Transactions sent and not answered.
+    """
 
     def __init__(self, world: "Fleet", number: int) -> None:
         self.world, self.number, self.name = world, number, f"n{number}"
@@ -36,16 +47,18 @@
         self.start()
 
     def settings(self) -> Any:
-        others = [
+        """Return the settings of this controller, in its version's classes."""
+        siblings = [
             {"member": f"n{i}", "zone": ZONES[i % 2], "peer_addr": f"127.0.0.1:{i + 10}"}
             for i in range(self.world.size)
             if i != self.number
         ]
-        mine = {"member": self.name, "zone": self.zone, "siblings": others}
-        raw = SETTINGS | mine | {"params": self.world.params}
+        own_settings = {"member": self.name, "zone": self.zone, "siblings": siblings}
+        raw = SETTINGS | own_settings | {"params": self.world.params}
         return msgspec.convert(raw, self.version.Settings)
 
     def start(self) -> None:
+        """Start the controller's process with nothing in memory."""
         self.incarnation += 1
         self.up = True
         self.core = self.version.Core(self.settings())
@@ -54,20 +67,23 @@
         self.pending_requests: dict[int, Callable[[Response | None], None]] = {}
         self.tickets = 0
         self.in_flight = 0
-        life = self.incarnation
+        incarnation = self.incarnation
         for member in self.core.frame_builders:
-            self._connect(member, life)
-        self._loop(0.6, life, self._renew_lease)
-        self._loop(0.12, life, self._watch)
-        self._loop(TICK_S, life, self._tick)
+            self._connect(member, incarnation)
+        self._loop(0.6, incarnation, self._renew_lease)
+        self._loop(0.12, incarnation, self._watch)
+        self._loop(TICK_S, incarnation, self._tick)
 
     def stop(self) -> None:
+        """Kill the controller's process."""
         self.up = False
         self.incarnation += 1
 
-    def _loop(self, period: float, life: int, work: Callable[[], None]) -> None:
+    def _loop(self, period: float, incarnation: int, work: Callable[[], None]) -> None:
+        """Call a function about every `period` seconds until the process ends."""
+
         def step() -> None:
-            if self.incarnation == life:
+            if self.incarnation == incarnation:
                 if self.defer_while_frozen(step):
                     return
                 work()
@@ -76,18 +92,26 @@
         step()
 
     def defer_while_frozen(self, work: Callable[[], None]) -> bool:
-        """A controller that stands still does its work, in order, once it goes on again."""
+        """Schedule the work for the end of a suspension and return whether there is one.
+
+        The order of the deferred work is kept.
+        """
         if self.world.now >= self.frozen_until:
             return False
         self.world.after(self.frozen_until - self.world.now, work)
         return True
 
     def enter(self) -> Any:
+        """Set the core's clocks to the current time and return the core."""
         now = self.world.now
         self.core.set_time(MonotonicTime(1000.0 + now), WallTime(EPOCH + now + self.skew))
         return self.core
 
     def state_up(self) -> bool:
+        """Return whether this controller can reach the state service now.
+
+        The first call after an outage of the state service renews all leases.
+        """
         world = self.world
         if world.now >= world.outage_until > world.leases_extended_at:
             world.leases_extended_at = world.outage_until
@@ -95,6 +119,7 @@
         return world.now >= max(self.refused_until, self.cut_until, world.outage_until)
 
     def _renew_lease(self) -> None:
+        """Renew the controller's lease at the state service, or obtain a new one."""
         if not self.state_up():
             return
         core, store, now = self.enter(), self.world.store, self.world.now
@@ -105,19 +130,23 @@
         ctx.state_ok_at = MonotonicTime(1000.0 + now)
 
     def _watch(self) -> None:
+        """Load the view, or apply the changes since the revision last seen.
+
+        The view is loaded anew if it is more than 9000 revisions behind.
+        """
         if not self.state_up():
             return
         core, store = self.enter(), self.world.store
         view = core.view
         if self.seen_revision < 0 or self.seen_revision < store.revision - 9000:
-            rows = [r for r in store.rows(records.ROOT) if "/e/" not in r["K"]]
-            view.reload([(r["K"], r["Value"], r["Stamp"]) for r in rows], store.revision)
+            rows = [row for row in store.rows(records.ROOT) if "/e/" not in row["K"]]
+            view.reload([(row["K"], row["Value"], row["Stamp"]) for row in rows], store.revision)
         elif self.seen_revision < store.revision:
-            for item in store.since(self.seen_revision, records.ROOT):
-                if "Set" in item:
-                    view.apply_value(item["Set"], item["Value"], item["Stamp"])
+            for change in store.since(self.seen_revision, records.ROOT):
+                if "Set" in change:
+                    view.apply_value(change["Set"], change["Value"], change["Stamp"])
                 else:
-                    view.apply_removal(item["Remove"], item["Stamp"])
+                    view.apply_removal(change["Remove"], change["Stamp"])
         self.seen_revision = view.revision = store.revision
         core.ctx.watch_ok_at = core.ctx.state_ok_at = MonotonicTime(1000.0 + self.world.now)
 
@@ -126,14 +155,15 @@
         self.flush()
 
     def flush(self) -> None:
+        """Carry out the core's effects and send its commits, for at most 20 rounds."""
         for _ in range(20):
             effects: list[Any] = self.core.take_effects()
             version = self.version
             for effect in effects:
                 if isinstance(effect, version.Response):
-                    back = self.pending_requests.pop(effect.ticket, None)
-                    if back is not None:
-                        back(effect)
+                    on_response = self.pending_requests.pop(effect.ticket, None)
+                    if on_response is not None:
+                        on_response(effect)
                 elif isinstance(effect, version.RefreshView):
                     self._refresh_view()
                 elif isinstance(effect, version.ReadJobResult):
@@ -167,10 +197,11 @@
         key = records.ending_key(JobId(read.job))
         row = self.world.store.row(key)
         record = self.version.codec.decode_record(key, row["Value"]) if row else None
-        found = record if isinstance(record, self.version.records.Ending) else None
-        self.core.receive_job_result(read.ticket, found)
+        job_result = record if isinstance(record, self.version.records.Ending) else None
+        self.core.receive_job_result(read.ticket, job_result)
 
     def _commit(self) -> None:
+        """Read stale keys again and send batches, with at most three in flight."""
         world, queue = self.world, self.core.queue
         now = MonotonicTime(1000.0 + world.now)
         if queue.stale and self.state_up():
@@ -190,48 +221,51 @@
             self._send(batch)
 
     def _send(self, batch: Batch) -> None:
-        """One transaction: carried out a little later, its answer lost at times."""
+        """Send a transaction; it is carried out within 50 ms, or 9 s if its response is lost."""
         world, core = self.world, self.core
-        queue, life = core.queue, self.incarnation
+        queue, incarnation = core.queue, self.incarnation
         self.in_flight += 1
         if len(encode(batch.body)) > 64 * 1024:
-            raise RuleBrokenError("a transaction over its limits")
+            raise RuleBrokenError("a transaction is larger than 64 KiB")
         world.sent_changes[self.version.name] += len(batch.body["Then"])
-        lost = world.rng.random() < world.lost_commits
-        delay = world.rng.uniform(0.005, 0.05) if not lost else world.rng.uniform(0.0, 9.0)
+        is_lost = world.rng.random() < world.lost_commits
+        delay = world.rng.uniform(0.005, 0.05) if not is_lost else world.rng.uniform(0.0, 9.0)
 
-        def land() -> None:
+        def carry_out() -> None:
             status, body = world.store.commit(world.now, batch.body)
-            if not lost:
-                heard(status, body)
+            if not is_lost:
+                receive_response(status, body)
 
-        def heard(status: int, body: Any) -> None:
-            if self.incarnation != life or self.defer_while_frozen(lambda: heard(status, body)):
+        def receive_response(status: int, body: Any) -> None:
+            if self.incarnation != incarnation or self.defer_while_frozen(
+                lambda: receive_response(status, body)
+            ):
                 return
             self.enter()
             self.in_flight -= 1
             self._take_outcome(batch, status, body)
             self.flush()
 
-        def unanswered() -> None:
-            if self.incarnation == life and not self.defer_while_frozen(unanswered):
+        def time_out() -> None:
+            if self.incarnation == incarnation and not self.defer_while_frozen(time_out):
                 self.enter()
                 self.in_flight -= 1
                 queue.handle_missing_response(batch, MonotonicTime(1000.0 + world.now), 0.3)
 
-        world.after(delay, land)
-        if lost:
-            world.after(1.5, unanswered)
+        world.after(delay, carry_out)
+        if is_lost:
+            world.after(1.5, time_out)
 
     def _take_outcome(self, batch: Batch, status: int, body: Any) -> None:
+        """Pass the response to a transaction on to the commit queue."""
         queue, ctx = self.core.queue, self.core.ctx
         ctx.state_ok_at = MonotonicTime(1000.0 + self.world.now)
-        no_lease = b"lease" in encode(body)
+        is_lease_error = b"lease" in encode(body)
         if status == 200:
             queue.handle_success(batch, body["Ledger"])
         elif status == 409:
             queue.handle_conflict(batch, body["failed"])
-        elif no_lease:
+        elif is_lease_error:
             ctx.lease_id = 0
             if self.version is OURS:
                 queue.handle_lost_lease(batch)
@@ -241,32 +275,35 @@
             self.world.refused_transaction_count += 1
             queue.handle_invalid(batch)
 
-    def _connect(self, member: str, life: int) -> None:
-        """Frames to one sibling; a refused one ends the connection, and all is said anew."""
+    def _connect(self, member: str, incarnation: int) -> None:
+        """Send frames to one sibling until the process ends.
+
+        If the sibling can't be reached or refuses a frame, the connection starts again.
+        """
         self.enter().peer_connected(member)
         other = int(member[1:])
 
         def send() -> None:
-            if self.incarnation != life or self.defer_while_frozen(send):
+            if self.incarnation != incarnation or self.defer_while_frozen(send):
                 return
             world = self.world
             if world.can_connect(self, other):
                 frame = self.enter().next_frame(member)
                 if frame:
-                    theirs = world.nodes[other].incarnation
+                    sibling_incarnation = world.nodes[other].incarnation
 
                     def arrive() -> None:
-                        there = world.nodes[other]
-                        if there.defer_while_frozen(arrive):
+                        sibling = world.nodes[other]
+                        if sibling.defer_while_frozen(arrive):
                             return
                         if (
-                            there.incarnation == theirs
-                            and there.up
-                            and not there.enter().receive_frame(frame)
+                            sibling.incarnation == sibling_incarnation
+                            and sibling.up
+                            and not sibling.enter().receive_frame(frame)
                         ):
                             self.enter().peer_connected(member)
-                        if there.up:
-                            there.flush()
+                        if sibling.up:
+                            sibling.flush()
 
                     world.after(world.rng.uniform(0.001, 0.01), arrive)
             else:
