--- a/tests/fleet_users.py
+++ b/tests/fleet_users.py
@@ -1,4 +1,4 @@
-"""A user of the simulated fleet: asks as the protocol says, and holds answers against it."""
+"""A user of the simulated cluster, which checks each response against the protocol."""
 
 from typing import TYPE_CHECKING
 
@@ -13,7 +13,11 @@
 
 
 class User:
-    """One job's user: submits until it is accepted, polls until it is over."""
+    """The user of one job: submits it until it is accepted and polls it until it has ended.
+
+    Attributes:
+        polled_at: When the last poll was sent.
+    """
 
     def __init__(self, world: "Fleet", job: UserJob) -> None:
         self.world, self.job = world, job
@@ -21,8 +25,9 @@
         self.polled_at = 0.0
 
     def send(self) -> None:
+        """Submit the job once all its prerequisites are accepted."""
         if any(need.accepted_at < 0 for need in self.job.needs):
-            self.world.after(0.3, self.send)  # as soon as those that it needs are accepted
+            self.world.after(0.3, self.send)
             return
         self.world.ask(lambda core, t: core.submit(self.body, t), self._sent)
 
@@ -32,7 +37,7 @@
             self.world.after(POLL_S, self._poll)
         elif answer is not None and answer.status in (400, 404, 422):
             raise RuleBrokenError(
-                f"{self.job.name}: submission answered {answer.status} {answer.body}"
+                f"{self.job.name}: the submission got status {answer.status} {answer.body}"
             )
         else:
             self.world.after(1.0, self.send)
@@ -44,19 +49,20 @@
 
     def _polled(self, answer: Response | None) -> None:
         if answer is not None and answer.status == 404:
-            raise RuleBrokenError(f"{self.job.name}: forgotten")
+            raise RuleBrokenError(f"{self.job.name}: accepted earlier and now unknown")
         if answer is not None and answer.status == 200:
             self._check_prerequisites(answer)
             self.world.record_answer(self.job, answer)
         self.world.after(POLL_S * self.world.rng.uniform(0.8, 1.2), self._poll)
 
     def _check_prerequisites(self, answer: Response) -> None:
-        """A job that needs a cancelled one is cancelled, for every later question."""
+        """Check that the job is cancelled if a prerequisite was cancelled before the poll."""
         status = answer.body["Status"]
         if status != "cancelled" and -1 < self.job.cancellation_told_at() < self.polled_at:
-            raise RuleBrokenError(f"{self.job.name}: {status}, and what it needs cancelled")
+            raise RuleBrokenError(f"{self.job.name}: {status} although a prerequisite is cancelled")
 
     def cancel(self) -> None:
+        """Cancel the job once it is accepted, repeating the request until it is confirmed."""
         if self.job.accepted_at < 0:
             self.world.after(2.0, self.cancel)
             return
--- a/tests/fleet_worker.py
+++ b/tests/fleet_worker.py
@@ -1,4 +1,4 @@
-"""A machine and its agent in the simulated fleet, by the protocol."""
+"""A worker of the simulated cluster: a machine and its agent."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -14,7 +14,24 @@
 
 
 class Worker:
-    """One machine and its agent, by the protocol."""
+    """One machine and its agent, which follow the protocol of workers.
+
+    Attributes:
+        up_at: When the machine has booted.
+        gone: Whether the machine was returned, taken away or lost for good.
+        responses_lost_until: Requests arrive, but responses and commands are lost until then.
+        cut_until: Nothing that the machine sends or should receive arrives until then.
+        hung_until: The machine is suspended until then.
+        reports_lost_until: Reports of this machine are lost until then.
+        session: Number of the agent's session; raised whenever its lease expires.
+        sequence: Number of the last report or direct command of the session.
+        token: The highest fencing token that a controller has shown.
+        lease_started_at: When the last report that got a response was sent.
+        node: Number of the controller that gets the next report.
+        is_report_scheduled: Whether a report of a changed task is scheduled.
+        request_number: Number of the last report; responses to earlier ones are ignored.
+        change_reported_at: When a changed task was last reported.
+    """
 
     def __init__(self, world: "Fleet", id: str, zone: str, spot: bool, up_at: float) -> None:
         self.world, self.id, self.zone, self.spot = world, id, zone, spot
@@ -29,6 +46,7 @@
         self.change_reported_at = -1e9
 
     def next_report(self) -> bytes:
+        """Return the encoded body of the next report."""
         self.sequence += 1
         return encode(
             {
@@ -40,37 +58,45 @@
         )  # fmt: skip
 
     def report(self) -> None:
+        """Send a report to the current controller; a missing response is noticed after 4 s."""
         world = self.world
         if self.gone or self.defer_while_hung(self.report):
             return
         self.expire_lease()
         self.request_number += 1
-        flight, sent = self.request_number, world.now
+        request_number, sent_at = self.request_number, world.now
         body = self.next_report()
         target = self.node
 
-        def back(answer: Response | None) -> None:
-            if self.gone or flight != self.request_number:
+        def on_response(answer: Response | None) -> None:
+            if self.gone or request_number != self.request_number:
                 return
-            if not self.defer_while_hung(lambda: back(answer)):
-                self._handle_answer(answer, sent)
+            if not self.defer_while_hung(lambda: on_response(answer)):
+                self._handle_answer(answer, sent_at)
 
         def send() -> None:
             world.request(
-                target, lambda core, t: core.handle_report(body, t), back, self._receives_responses
+                target,
+                lambda core, t: core.handle_report(body, t),
+                on_response,
+                self._receives_responses,
             )
 
         if world.now < max(self.cut_until, self.reports_lost_until):
             pass
-        elif (held := world.zone_delay_s(self.zone, world.nodes[target].zone)) > 0:
-            world.after(held, send)  # let go with all the others, when nobody waits for it
+        elif (delay_s := world.zone_delay_s(self.zone, world.nodes[target].zone)) > 0:
+            world.after(
+                delay_s, send
+            )  # arrives after the cut, when its response is no longer awaited
         else:
             world.maybe_duplicate_report(self, body)
             send()
-        world.after(4.0, lambda: back(None) if flight == self.request_number else None)
+        world.after(
+            4.0, lambda: on_response(None) if request_number == self.request_number else None
+        )
 
     def defer_while_hung(self, work: Callable[[], None]) -> bool:
-        """A hanging machine does nothing, and goes on as if no time had passed."""
+        """Schedule the work for the end of a suspension and return whether there is one."""
         if self.world.now >= self.hung_until:
             return False
         self.world.after(self.hung_until - self.world.now, work)
@@ -80,16 +106,25 @@
         return not self.gone and self.world.now >= max(self.responses_lost_until, self.cut_until)
 
     def _schedule_report(self, pause: float) -> None:
+        """Send the next report after a pause, unless another one is sent before."""
         self.request_number += 1
-        flight = self.request_number
-        self.world.after(pause, lambda: self.report() if flight == self.request_number else None)
-
-    def _handle_answer(self, answer: Response | None, sent: float) -> None:
+        request_number = self.request_number
+        self.world.after(
+            pause, lambda: self.report() if request_number == self.request_number else None
+        )
+
+    def _handle_answer(self, answer: Response | None, sent_at: float) -> None:
+        """Carry out the commands in a response, or turn to another controller.
+
+        Args:
+            answer: The response; None if there was none.
+            sent_at: When the report was sent.
+        """
         world = self.world
         if answer is not None and answer.status == 200:
-            if answer.body["Baton"] >= self.token and sent >= self.lease_started_at:
+            if answer.body["Baton"] >= self.token and sent_at >= self.lease_started_at:
                 self.token = answer.body["Baton"]
-                self.lease_started_at = sent
+                self.lease_started_at = sent_at
                 self.execute(answer.body["Orders"])
             self._schedule_report(world.rng.uniform(0.75, 1.25) * world.timing["report_s"])
             return
@@ -102,7 +137,7 @@
             self._schedule_report(1.0)
 
     def expire_lease(self) -> None:
-        """Kill everything when the last answered report is too old."""
+        """End the session and all tasks if no report was answered within the lease."""
         world = self.world
         while world.now > self.lease_started_at + world.timing["lease_s"]:
             self.lease_started_at += world.timing["lease_s"]
@@ -111,38 +146,46 @@
                 self.world.task_leaves(self, task)
             self.tasks.clear()
 
-    def execute(self, orders: list[Command]) -> None:
+    def execute(self, commands: list[Command]) -> None:
+        """Carry out commands and check that each `run` is allowed.
+
+        Raises:
+            RuleBrokenError: a `run` for an unknown task, or for another attempt of a task that
+                is on this machine.
+        """
         world = self.world
-        for order in orders:
-            task = self.tasks.get(order.task)
-            if order.verb == "run":
-                if task is not None and task.attempt == order.attempt:
+        for command in commands:
+            task = self.tasks.get(command.task)
+            if command.verb == "run":
+                if task is not None and task.attempt == command.attempt:
                     continue
                 if task is not None:
                     raise RuleBrokenError(
-                        f"{order.task} sent to {self.id}, which has another attempt"
+                        f"run {command.task} was sent to {self.id}, which has another attempt of it"
                     )
-                job, number = order.task.split("/")
-                if order.task not in world.tasks_of(job):
-                    raise RuleBrokenError(f"{order.task} is no task")
+                job, number = command.task.split("/")
+                if command.task not in world.tasks_of(job):
+                    raise RuleBrokenError(f"run {command.task}: there is no such task")
                 world.run_received(world.jobs[job])
-                fetch = world.rng.uniform(0.0, FETCH_S)
-                new = Task(world.jobs[job], int(number), order.attempt, world.now, fetch)
-                self.tasks[order.task] = new
-                world.after(fetch, lambda new=new: self._image_fetched(new))  # type: ignore[misc]
-            elif task is not None and task.attempt == order.attempt:
-                if order.verb == "forget" and task.state == "exited":
-                    del self.tasks[order.task]
-                elif order.verb == "stop" and task.state != "exited":
-                    world.task_stopped(order)
+                fetch_s = world.rng.uniform(0.0, FETCH_S)
+                new_task = Task(world.jobs[job], int(number), command.attempt, world.now, fetch_s)
+                self.tasks[command.task] = new_task
+                world.after(fetch_s, lambda new_task=new_task: self._image_fetched(new_task))  # type: ignore[misc]
+            elif task is not None and task.attempt == command.attempt:
+                if command.verb == "forget" and task.state == "exited":
+                    del self.tasks[command.task]
+                elif command.verb == "stop" and task.state != "exited":
+                    world.task_stopped(command)
                     self._exit(task, "halted")
                     world.break_gang(task)
 
     def _has_live_task(self, task: Task) -> bool:
+        """Return whether the task is on this machine and has not exited."""
         self.expire_lease()
         return not self.gone and self.tasks.get(task.name) is task and task.state != "exited"
 
     def _image_fetched(self, task: Task) -> None:
+        """Start a task, or end it if another attempt has done its work before."""
         if self.defer_while_hung(lambda: self._image_fetched(task)) or not self._has_live_task(
             task
         ):
@@ -155,6 +198,7 @@
         self._schedule_change_report()
 
     def begin(self, task: Task, run_s: float) -> None:
+        """Let a task run for `run_s` seconds."""
         task.state = "running"
         self.world.after(run_s, lambda: self._finished(task))
         self._schedule_change_report()
@@ -175,10 +219,12 @@
         self._schedule_change_report()
 
     def end(self, task: Task, cause: str) -> None:
+        """Let a task exit if it is still live on this machine."""
         if self._has_live_task(task):
             self._exit(task, cause)
 
     def _schedule_change_report(self) -> None:
+        """Report a changed task after 0.5 s, with the other changes until then."""
         if not self.is_report_scheduled and self.request_number >= 0:
             self.is_report_scheduled = True
             self.world.after(0.5, self._report_soon)
@@ -190,7 +236,7 @@
             self.report()
 
     def kill(self) -> None:
-        """The machine is gone, and everything on it."""
+        """Remove the machine and all tasks on it."""
         if not self.gone:
             self.gone = True
             for task in self.tasks.values():
