--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The same verdict every time: no random examples, no deadlines by the clock."""
+"""Configure the test run; hypothesis draws the same examples each time, without deadlines."""
 
 import pytest
 from hypothesis import settings
@@ -14,5 +14,5 @@
 
 @pytest.fixture(scope="session")
 def old(tmp_path_factory: pytest.TempPathFactory) -> Version:
-    """The version in production."""
+    """Return the version in production."""
     return production(tmp_path_factory.mktemp("production"))
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,9 @@
-"""Tests that are known to fail for a real fault, as KNOWN-RED.txt at the root lists them.
+"""Expect the tests listed in KNOWN-RED.txt to fail; each fails because of a known fault.
 
-One line each: `tests/test_x.py::test_y, the cause in a few words, issue 16`. Only these may
-fail. They are run like all others and printed with their cause; the run fails if a listed
-test passes or does not exist, if a line can not be read, or if there are more than three.
+The file at the root of the repository has one line for each test:
+`tests/test_x.py::test_y, the cause in a few words, issue 16`. No other test may fail. Listed
+tests run like all others and are printed with their cause. The run fails if a listed test
+passes or does not exist, if a line can't be parsed, or if more than three tests are listed.
 """
 
 import re
@@ -17,7 +18,7 @@
 
 
 class KnownRedTest(NamedTuple):
-    """A test that may fail, and why."""
+    """A test that may fail, the cause of its failure, and the number of the issue."""
 
     test: str
     cause: str
@@ -25,7 +26,11 @@
 
 
 def read_known_red(root: Path) -> list[KnownRedTest]:
-    """The listed tests; a file that is not as it should be ends the run."""
+    """Return the listed tests.
+
+    Raises:
+        pytest.UsageError: a line is malformed or too many tests are listed.
+    """
     path = root / FILE_NAME
     if not path.exists():
         return []
@@ -34,18 +39,18 @@
         raise pytest.UsageError(
             f"{FILE_NAME}: {len(lines)} tests, and at most {MAX_KNOWN_RED_COUNT} may be known red"
         )
-    found = []
+    known_red = []
     for line in lines:
         match = LINE_PATTERN.fullmatch(line.strip())
         if match is None:
             raise pytest.UsageError(f"{FILE_NAME}: {line!r} is not 'test, cause, issue N'")
-        found.append(KnownRedTest(match["test"], match["cause"], int(match["issue"])))
-    return found
+        known_red.append(KnownRedTest(match["test"], match["cause"], int(match["issue"])))
+    return known_red
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail, strictly."""
+    """Mark the listed tests as expected failures; the run fails if one of them passes."""
     by_id = {item.nodeid: item for item in items}
     collected = {item.nodeid.partition("::")[0] for item in items}
     for red in read_known_red(config.rootpath):
@@ -60,5 +65,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
+    """Print the listed tests with their causes."""
     for red in read_known_red(terminalreporter.config.rootpath):
         terminalreporter.write_line(f"known red: {red.test}: {red.cause} (issue {red.issue})")
--- a/tests/test_shares_loopback.py
+++ b/tests/test_shares_loopback.py
@@ -37,7 +37,7 @@
         self.cloud.run_s = RUN_S
 
     def write_files(self, cells: list[Cell]) -> list[str]:
-        return ["--shares", str(write_toml(self.folder / "shares.toml", {"moves": MOVES}))]
+        return ["--shares", str(write_toml(self.directory / "shares.toml", {"moves": MOVES}))]
 
     def owners(self) -> dict[str, tuple[str, int]]:
         """Each machine's owner and fencing token, by the stored records alone."""
