--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems, written from the protocol page alone."""
+"""Stand-ins for the external services, written from the protocol documentation alone."""
--- a/tests/standins/servers.py
+++ b/tests/standins/servers.py
@@ -1,10 +1,10 @@
-"""State service, cloud and workers on loopback, enough to try coursefold by hand.
+"""Run a state service, a cloud and workers on loopback, to try coursefold by hand.
 
     python3 -m tests.standins.servers --state 127.0.0.1:2379 --cloud 127.0.0.1:8443 \\
         --controllers worker-0=127.0.0.1:8080
 
-Machines are up after `--boot` seconds; a task's image takes half a second, and
-the task runs for `--run` seconds (a service runs until it is stopped).
+A machine takes `--boot` seconds to boot. A task fetches its image for half a second and then
+runs for `--run` seconds; a task of a service runs until it is stopped.
 """
 
 import argparse
@@ -34,7 +34,7 @@
 
 
 class Handler(RequestHandler):
-    """MessagePack in and out."""
+    """A request handler with MessagePack bodies."""
 
     request: HTTPServerRequest
 
@@ -51,6 +51,8 @@
 
 
 class KeysHandler(Handler):
+    """Reads of one key or of all keys with a prefix."""
+
     def get(self, key: str) -> None:
         store: StateStore = self.owner
         store.expire(time.monotonic())
@@ -63,32 +65,39 @@
 
 
 class CommitHandler(Handler):
+    """Transactions."""
+
     def post(self) -> None:
         self.reply(*self.owner.commit(time.monotonic(), self.body()))
 
 
 class LeasesHandler(Handler):
-    def post(self, permit: str, touch: str) -> None:
+    """Grants and renewals of leases."""
+
+    def post(self, lease_id: str, touch: str) -> None:
         now = time.monotonic()
-        if not permit:
+        if not lease_id:
             self.reply(200, {"Permit": self.owner.grant(now, self.body()["LifeMs"])})
         else:
-            known = self.owner.touch(now, int(permit))
-            self.reply(200 if known else 404, {"Permit": int(permit)})
+            is_known = self.owner.touch(now, int(lease_id))
+            self.reply(200 if is_known else 404, {"Permit": int(lease_id)})
 
 
 class WatchHandler(Handler):
+    """Changes after a revision, with a long poll of up to `WaitMs`."""
+
     async def get(self) -> None:
         store: StateStore = self.owner
         since, prefix = int(self.get_argument("From")), self.get_argument("Prefix")
         until = time.monotonic() + int(self.get_argument("WaitMs", "0")) / 1000
-        while not (news := store.since(since, prefix)) and time.monotonic() < until:
+        while not (changes := store.since(since, prefix)) and time.monotonic() < until:
             store.expire(time.monotonic())
             await asyncio.sleep(0.005)
-        self.reply(200, {"Ledger": store.revision, "News": news})
+        self.reply(200, {"Ledger": store.revision, "News": changes})
 
 
 def state_app(store: StateStore) -> Application:
+    """Return the web application of the state service."""
     return Application(
         [
             (r"/keys(/.*)?", KeysHandler, {"owner": store}),
@@ -100,10 +109,17 @@
 
 
 class Worker:
-    """A machine's agent: reports, obeys, and plays its tasks by the clock."""
+    """A machine's agent: sends reports, carries out commands and simulates its tasks.
 
-    def __init__(self, box: str, body: dict[str, Any], cloud: "Cloud") -> None:
-        self.name, self.body, self.cloud = box, body, cloud
+    Attributes:
+        body: Fields that are the same in all reports.
+        tasks: The tasks, by name and attempt.
+        lease_started_at: When the last report that got a response was sent.
+        started: Names of all tasks that were started.
+    """
+
+    def __init__(self, name: str, body: dict[str, Any], cloud: "Cloud") -> None:
+        self.name, self.body, self.cloud = name, body, cloud
         self.controllers, self.run_s = cloud.controllers, cloud.run_s
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
         self.sequence = self.token = 0
@@ -112,68 +128,82 @@
         self.started: list[str] = []
 
     def expire(self) -> None:
-        """All tasks end with the lease: when the last answered report was sent too long ago."""
+        """End the session and all tasks if the last answered report is older than the lease."""
         if time.monotonic() - self.lease_started_at > self.cloud.lease_s:
             self.tasks.clear()
             self.session += 1
             self.lease_started_at = time.monotonic()
 
-    def execute(self, orders: list[dict[str, Any]]) -> None:
-        for order in orders:
-            key = (order["Piece"], order["Try"])
-            if order["Verb"] == "run" and key not in self.tasks:
+    def execute(self, commands: list[dict[str, Any]]) -> None:
+        """Carry out the commands of a response."""
+        for command in commands:
+            key = (command["Piece"], command["Try"])
+            if command["Verb"] == "run" and key not in self.tasks:
                 self.tasks[key] = {"Piece": key[0], "Try": key[1], "at": time.monotonic()}
                 self.started.append(key[0])
-            elif order["Verb"] == "stop" and key in self.tasks:
+            elif command["Verb"] == "stop" and key in self.tasks:
                 self.tasks[key].setdefault("Cause", "halted")
-            elif order["Verb"] == "forget":
+            elif command["Verb"] == "forget":
                 self.tasks.pop(key, None)
 
     def report_tasks(self) -> list[dict[str, Any]]:
+        """Return the entries of all tasks for a report."""
         self.expire()
         found = []
         for task in self.tasks.values():
-            age = time.monotonic() - task["at"]
-            if age > self.run_s + 0.5 and not self.cloud.is_service(task["Piece"]):
+            age_s = time.monotonic() - task["at"]
+            if age_s > self.run_s + 0.5 and not self.cloud.is_service(task["Piece"]):
                 task.setdefault("Cause", "done")
-            status = "exited" if "Cause" in task else "pulling" if age < 0.5 else "running"
-            shown = {"Piece": task["Piece"], "Try": task["Try"], "Status": status}
-            found.append(shown | ({"Cause": task["Cause"]} if "Cause" in task else {}))
+            status = "exited" if "Cause" in task else "pulling" if age_s < 0.5 else "running"
+            report = {"Piece": task["Piece"], "Try": task["Try"], "Status": status}
+            found.append(report | ({"Cause": task["Cause"]} if "Cause" in task else {}))
         return found
 
     async def send_reports(self) -> None:
+        """Send reports forever, to another controller whenever one does not accept them."""
         names = sorted(self.controllers)
-        at = 0
+        index = 0
         clients = {name: HttpClient(address, 1) for name, address in self.controllers.items()}
         while True:
             self.sequence += 1
-            shown, session, sent = self.report_tasks(), self.session, time.monotonic()
+            reports, session, sent_at = self.report_tasks(), self.session, time.monotonic()
             report = self.body | {
                 "Box": self.name, "Addr": "127.0.0.1:9", "Shift": session,
-                "Counter": self.sequence, "Baton": self.token, "RecallS": None, "Pieces": shown,
+                "Counter": self.sequence, "Baton": self.token, "RecallS": None, "Pieces": reports,
             }  # fmt: skip
             pause = 0.3
             try:
-                status, answer = await clients[names[at]].fetch(
+                status, answer = await clients[names[index]].fetch(
                     "POST", "/agent/beat", encode(report), 4.0
                 )
                 body = msgspec.msgpack.decode(answer)
                 self.expire()
                 if status == 200 and body["Baton"] >= self.token and session == self.session:
-                    self.lease_started_at = sent
+                    self.lease_started_at = sent_at
                     self.token = body["Baton"]
                     self.execute(body["Orders"])
                 elif status == 421 and body.get("Foreman") in self.controllers:
-                    at, pause = names.index(body["Foreman"]), 0.05
+                    index, pause = names.index(body["Foreman"]), 0.05
                 else:
-                    at, pause = (at + 1) % len(names), 0.5
+                    index, pause = (index + 1) % len(names), 0.5
             except NoResponseError:
-                at, pause = (at + 1) % len(names), 0.5
+                index, pause = (index + 1) % len(names), 0.5
             await asyncio.sleep(pause)
 
 
 class Cloud:
-    """Rents workers and takes them back."""
+    """The cloud: rents out machines with their workers and takes them back.
+
+    Attributes:
+        controllers: Addresses of the controllers, by name.
+        boot_s: Time that a machine takes to boot.
+        run_s: How long a task runs.
+        capacity: Maximum number of machines at a time.
+        lease_s: Lease of the workers.
+        machines: Pool and start time of the rented machines, by name.
+        workers: Workers of the machines that have booted, by name.
+        agent_tasks: The asyncio tasks that run the machines, by name.
+    """
 
     def __init__(
         self,
@@ -193,13 +223,20 @@
         self.agent_tasks: dict[str, asyncio.Task[None]] = {}
 
     def is_service(self, task: str) -> bool:
-        """Users upload descriptions for the workers; here the record serves for that."""
+        """Return whether a task belongs to a service.
+
+        Real workers have the job description, which users upload; this one reads the job record.
+        """
         key = records.job_key(JobId(task.partition("/")[0]))
         row = self.store.row(key)
         record = codec.decode_record(key, row["Value"]) if row else None
         return isinstance(record, records.JobRecord) and record.spec.kind == "standing"
 
     def hire(self, body: dict[str, Any]) -> list[str]:
+        """Rent out machines and return their names; empty if the capacity is used up.
+
+        A repeated rental id gets the same machines again.
+        """
         if body["Hire"] not in self.rentals:
             count = min(body["Count"], self.capacity - len(self.machines))
             if count <= 0:
@@ -208,40 +245,45 @@
             self.rented += count
             self.rentals[body["Hire"]] = names
             for name in names:
-                kind = {key: body[key] for key in ("Build", "Site", "Loaners")}
-                self.machines[name] = kind | {"at": time.monotonic()}
-                self.agent_tasks[name] = asyncio.ensure_future(self._boot(name, kind))
+                pool = {key: body[key] for key in ("Build", "Site", "Loaners")}
+                self.machines[name] = pool | {"at": time.monotonic()}
+                self.agent_tasks[name] = asyncio.ensure_future(self._boot(name, pool))
         return self.rentals[body["Hire"]]
 
-    async def _boot(self, name: str, kind: dict[str, Any]) -> None:
+    async def _boot(self, name: str, pool: dict[str, Any]) -> None:
         await asyncio.sleep(self.boot_s)
-        self.workers[name] = Worker(name, kind, self)
+        self.workers[name] = Worker(name, pool, self)
         await self.workers[name].send_reports()
 
     def return_machines(self, names: list[str]) -> None:
+        """Stop the named machines and remove them."""
         for name in names:
             if name in self.agent_tasks:
                 self.agent_tasks.pop(name).cancel()
                 self.machines.pop(name)
 
     def stop(self) -> None:
-        """All machines end at once, with what is on them."""
+        """Stop all machines, with the tasks on them, at once."""
         for task in self.agent_tasks.values():
             task.cancel()
         self.workers.clear()
 
     def listing(self) -> list[dict[str, Any]]:
+        """Return the entries of the machine list."""
         return [
             {
-                "NameId": name, "Addr": "127.0.0.1:9", "Build": box["Build"], "Site": box["Site"],
-                "Loaners": box["Loaners"], "HeldS": time.monotonic() - box["at"],
+                "NameId": name, "Addr": "127.0.0.1:9", "Build": machine["Build"],
+                "Site": machine["Site"], "Loaners": machine["Loaners"],
+                "HeldS": time.monotonic() - machine["at"],
                 "Status": "running" if name in self.workers else "starting",
             }
-            for name, box in self.machines.items()
+            for name, machine in self.machines.items()
         ]  # fmt: skip
 
 
 class CloudHandler(Handler):
+    """Catalog, machine list, rentals and returns."""
+
     def get(self, path: str) -> None:
         if path == "catalog":
             self.reply(200, CATALOG)
@@ -259,10 +301,12 @@
 
 
 def cloud_app(cloud: Cloud) -> Application:
+    """Return the web application of the cloud."""
     return Application([(r"/(catalog|machines|machines/return)", CloudHandler, {"owner": cloud})])
 
 
 async def main() -> None:
+    """Serve the state service and the cloud until the process is stopped."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--state", default="127.0.0.1:2379")
     parser.add_argument("--cloud", default="127.0.0.1:8443")
@@ -271,11 +315,11 @@
     parser.add_argument("--run", type=float, default=5.0)
     parser.add_argument("--capacity", type=int, default=100_000, help="machines at most")
     args = parser.parse_args()
-    nodes = dict(item.split("=", 1) for item in args.controllers)
+    controllers = dict(item.split("=", 1) for item in args.controllers)
     store = StateStore()
     for app, address in (
         (state_app(store), args.state),
-        (cloud_app(Cloud(nodes, args.boot, args.run, store, args.capacity)), args.cloud),
+        (cloud_app(Cloud(controllers, args.boot, args.run, store, args.capacity)), args.cloud),
     ):
         host, port = address.rsplit(":", 1)
         app.listen(int(port), host)
