--- a/tests/measure_cells.py
+++ b/tests/measure_cells.py
@@ -1,7 +1,7 @@
 """Measure spilling between three simulated cells: `python -m tests.measure_cells 1 2 3`.
 
-Not part of the test command. Each seed is played without spilling, with it, and with it while
-a cell vanishes; the same jobs come each time.
+The arguments are seeds. This is not part of the test command. Each seed is run without
+spilling, with spilling, and with spilling and the loss of a cell, each time with the same jobs.
 """
 
 import random
@@ -13,16 +13,24 @@
 from tests.cells_world import NAMES, CellsWorld
 
 GRANT_S = 12.0
-CAPACITY = {"east": 40, "north": 120, "west": 120}  # a quarter for each zone and kind
+CAPACITY = {"east": 40, "north": 120, "west": 120}  # machines; a quarter for each zone, spot or not
 END_S = 600.0
-LOAD_S = 120.0  # in which the jobs come
+LOAD_S = 120.0  # time in which the jobs are submitted
 VANISHED_AT_S = 60.0
-# Of each cell: arrays and gangs that come within LOAD_S.
+# Number of arrays and gangs submitted within LOAD_S, by cell.
 ARRIVALS = {"east": (60, 30), "north": (12, 6), "west": (12, 6)}
 
 
 class Result(NamedTuple):
-    """One day's figures."""
+    """The figures of one run.
+
+    Attributes:
+        waits: Summary of the waits for the first start in seconds, by cell and job class.
+        world: The cells at the end of the run.
+        restart_delays_s: For each job that was lost with a cell, seconds from the loss until it
+            runs again.
+        repeated_task_count: Tasks of these jobs that had finished in the lost cell.
+    """
 
     waits: dict[str, dict[str, float]]
     world: CellsWorld
@@ -31,9 +39,9 @@
 
 
 def submit_all(world: CellsWorld, seed: int) -> dict[str, tuple[str, str]]:
-    """The day's jobs; cell and class by name."""
+    """Schedule the submission of all jobs; return the cell and class of each, by name."""
     rng = random.Random(seed)
-    kinds: dict[str, tuple[str, str]] = {}
+    cell_and_class: dict[str, tuple[str, str]] = {}
     for cell, (arrays, gangs) in ARRIVALS.items():
         for number in range(arrays + gangs):
             name = f"job-{NAMES.index(cell) + 1}{number:04d}"
@@ -44,48 +52,54 @@
             }  # fmt: skip
             if is_gang:
                 fields |= {"Shape": "ensemble", "Together": True, "Rank": "urgent", "Lane": "gang"}
-            kinds[name] = (cell, str(fields["Lane"]))
+            cell_and_class[name] = (cell, str(fields["Lane"]))
             run_s, at = rng.uniform(15.0, 45.0), rng.uniform(0.0, LOAD_S)
             fleet = world[cell]
             fleet.after(at, lambda f=fleet, n=name, r=run_s, w=fields: f.submit(n, r, None, **w))  # type: ignore[misc]
-    return kinds
+    return cell_and_class
 
 
 def play(seed: int, spills: bool, lost: bool = False) -> Result:
-    """One day."""
+    """Run one seed.
+
+    Args:
+        seed: Seed of the simulation and of the jobs.
+        spills: Whether cells delegate jobs to each other.
+        lost: Whether the cell `north` is lost at VANISHED_AT_S.
+    """
     world = CellsWorld(seed, CAPACITY, grant_s=GRANT_S, spill={"draining": not spills})
     world.run(5.0)
-    kinds = submit_all(world, seed)
-    again: list[float] = []
-    repeated = 0
+    cell_and_class = submit_all(world, seed)
+    restart_delays_s: list[float] = []
+    repeated_task_count = 0
     if lost:
         world.run(VANISHED_AT_S)
-        gone = set(world["north"].guests())
-        begun = {n: len(world.jobs[n].done) for n in gone}
-        repeated = sum(begun.values())
+        guests = set(world["north"].guests())
+        done_counts = {n: len(world.jobs[n].done) for n in guests}
+        repeated_task_count = sum(done_counts.values())
         world["north"].vanish()
-        missing = {name for name in gone if not world.jobs[name].complete()}
+        missing = {name for name in guests if not world.jobs[name].complete()}
         while missing and world.now < END_S:
             world.run(world.now + 0.2)
             running = {task.job.name for _, task in world.placed_tasks.values()}
             for name in sorted(missing & running):
-                again.append(world.now - VANISHED_AT_S)
+                restart_delays_s.append(world.now - VANISHED_AT_S)
                 missing.discard(name)
     while world.now < END_S and (world.now < LOAD_S + 5.0 or world.unfinished()):
         world.run(world.now + 1.0)
     histograms: defaultdict[str, Any] = defaultdict(new_histogram)
-    for name, (cell, lane) in kinds.items():
+    for name, (cell, job_class) in cell_and_class.items():
         job = world.jobs[name]
         if job.first_started_at >= 0 and not (lost and cell == "north"):
-            histograms[f"{cell} {lane}"].record_value(
+            histograms[f"{cell} {job_class}"].record_value(
                 max(1, int(1000 * (job.first_started_at - job.accepted_at)))
             )
-    waits = {key: summarize(found)._asdict() for key, found in sorted(histograms.items())}
-    return Result(waits, world, again, repeated)
+    waits = {key: summarize(histogram)._asdict() for key, histogram in sorted(histograms.items())}
+    return Result(waits, world, restart_delays_s, repeated_task_count)
 
 
 def show(title: str, result: Result) -> None:
-    """A day in a few lines."""
+    """Print the figures of one run."""
     world = result.world
     jobs = max(1, len(world.jobs))
     print(
@@ -96,21 +110,22 @@
         f"{world.frame_count / jobs:.1f} a job, "
         f"{world.frame_bytes / max(1, world.frame_count):.0f} B each"
     )
-    for key, found in result.waits.items():
+    for key, summary in result.waits.items():
         print(
-            f"  {key}: {found['total']:.0f} jobs, median {found['median']:.1f} s, "
-            f"90% {found['p90']:.1f} s, 99% {found['p99']:.1f} s"
+            f"  {key}: {summary['total']:.0f} jobs, median {summary['median']:.1f} s, "
+            f"90% {summary['p90']:.1f} s, 99% {summary['p99']:.1f} s"
         )
     if result.restart_delays_s:
-        spread = sorted(result.restart_delays_s)
+        delays_s = sorted(result.restart_delays_s)
         print(
-            f"  lost with the cell: {len(spread)} jobs run again after {spread[0]:.1f} to "
-            f"{spread[-1]:.1f} s, median {spread[len(spread) // 2]:.1f} s; "
+            f"  lost with the cell: {len(delays_s)} jobs run again after {delays_s[0]:.1f} to "
+            f"{delays_s[-1]:.1f} s, median {delays_s[len(delays_s) // 2]:.1f} s; "
             f"{result.repeated_task_count} tasks were done there and unheard"
         )
 
 
 def main() -> None:
+    """Measure each seed that is given on the command line."""
     for seed in map(int, sys.argv[1:]):
         show(f"seed {seed}, without spilling", play(seed, spills=False))
         show(f"seed {seed}, with spilling", play(seed, spills=True))
--- a/tests/measure_shares.py
+++ b/tests/measure_shares.py
@@ -1,7 +1,8 @@
 """Measure moves of machines between controllers: `python -m tests.measure_shares 1 2 3`.
 
-Not part of the test command. Each seed is played without moves, with them in both modes; the
-same jobs come each time. `large` shifts 1,000 of 4,000 machines.
+The arguments are seeds. This is not part of the test command. Each seed is run without moves
+and with moves in both modes, each time with the same jobs. The argument `large` moves 1,000 of
+4,000 machines.
 """
 
 import random
@@ -19,18 +20,25 @@
 
 BEGIN_S, LOAD_S, END_S = 20.0, 150.0, 400.0
 CAPACITY = 200
-JOBS = 160
-LARGE, SHIFTED = 4000, 1000
-SMALL_WRITE_RPS = 60.0  # of the settings page's example
+JOB_COUNT = 160
+LARGE_MACHINE_COUNT, MOVE_COUNT = 4000, 1000
+SMALL_WRITE_RPS = 60.0  # the write rate in the example of the settings page
 FAST = {"at_once": 40, "a_minute": 1200, "limit_s": 120.0}
 
 
 class Move(NamedTuple):
-    """What is asked for during a measured day."""
+    """The moves that are requested during a run.
+
+    Attributes:
+        name: Title in the output.
+        mode: Mode of the moves, "finish" or "drain".
+        max_machines: A request is for fewer machines than this.
+        every_s: Seconds between two requests.
+    """
 
     name: str
     mode: str
-    max_machines: int  # machines at a time
+    max_machines: int
     every_s: float
 
 
@@ -42,10 +50,10 @@
 
 
 def submit_all(fleet: SharesFleet, seed: int) -> dict[str, str]:
-    """The day's jobs; shape by name."""
+    """Schedule the submission of all jobs; return the kind of each, by name."""
     rng = random.Random(seed)
     kinds: dict[str, str] = {}
-    for number in range(JOBS):
+    for number in range(JOB_COUNT):
         name = f"job-{number}"
         fields: dict[str, Any] = {"Owner": rng.choice(["red", "blue"]), "ImageGb": 2.0}
         draw = rng.random()
@@ -65,8 +73,8 @@
     return kinds
 
 
-def shift(fleet: SharesFleet, rng: random.Random, move: Move) -> None:
-    """Ask for moves between drawn controllers, every few seconds."""
+def request_moves(fleet: SharesFleet, rng: random.Random, move: Move) -> None:
+    """Request a move between two random controllers, and again every `move.every_s` seconds."""
     leader = fleet.leader()
     if leader is not None:
         source, target = rng.sample([node.name for node in fleet.nodes], 2)
@@ -77,15 +85,15 @@
         }  # fmt: skip
         fleet.send("/shares/move", body, leader)
     if fleet.now < LOAD_S:
-        fleet.after(move.every_s, lambda: shift(fleet, rng, move))
+        fleet.after(move.every_s, lambda: request_moves(fleet, rng, move))
 
 
 def play(seed: int, move: Move | None) -> None:
-    """One day, in a few lines."""
+    """Run one seed and print its figures."""
     fleet = SharesFleet(seed, CAPACITY, moves=FAST)
     kinds = submit_all(fleet, seed)
     if move is not None:
-        fleet.after(BEGIN_S, lambda: shift(fleet, random.Random(seed), move))
+        fleet.after(BEGIN_S, lambda: request_moves(fleet, random.Random(seed), move))
     fleet.run(END_S)
     histograms: defaultdict[str, Any] = defaultdict(new_histogram)
     for name, kind in kinds.items():
@@ -107,16 +115,17 @@
     )
     for kind, histogram in sorted(histograms.items()):
         show(f"  waits of {kind}s", histogram)
-    for number, part in fleet.shares.items():
+    for number, shares in fleet.shares.items():
         if (
             fleet.nodes[number] is fleet.wait_for_leader()
-            and part.durations.handover.get_total_count()
+            and shares.durations.handover.get_total_count()
         ):
-            show("  until the handover", part.durations.handover)
-            show("  until the new owner shows it", part.durations.shown)
+            show("  until the handover", shares.durations.handover)
+            show("  until the new owner shows it", shares.durations.shown)
 
 
 def show(title: str, histogram: Any) -> None:
+    """Print the summary of a histogram of seconds."""
     found = summarize(histogram)
     print(
         f"{title}: {found.total}, median {found.median:.1f} s, 90% {found.p90:.1f} s, "
@@ -126,7 +135,7 @@
 
 
 def large() -> None:
-    """Shift a quarter of a fleet within a small deployment's write budget."""
+    """Move a quarter of the machines with the write rate of a small deployment."""
     state = STATE | {"write_rps": SMALL_WRITE_RPS}
     params = {
         "workers": TIMING, "state": state, "cloud": CLOUD,
@@ -134,34 +143,38 @@
         "resources": {"cores": 0.5, "memory_mb": 146.0, "fd_limit": 6000},
     }  # fmt: skip
     moves = {"at_once": 400, "a_minute": 6000}
-    fleet = SharesFleet(1, int(LARGE * 1.04), params=params, check_period_s=1.0, moves=moves)
-    for number in range(LARGE // 40):
-        whole = {"Vcpus": 16.0, "Accelerators": 2.0, "Loaners": True, "Pieces": 40}
-        fleet.submit(f"job-{number}", 1e6, None, Shape="standing", Rank="prod", **whole)
+    fleet = SharesFleet(
+        1, int(LARGE_MACHINE_COUNT * 1.04), params=params, check_period_s=1.0, moves=moves
+    )
+    for number in range(LARGE_MACHINE_COUNT // 40):
+        whole_machine = {"Vcpus": 16.0, "Accelerators": 2.0, "Loaners": True, "Pieces": 40}
+        fleet.submit(f"job-{number}", 1e6, None, Shape="standing", Rank="prod", **whole_machine)
     fleet.run(90.0)
-    before = len(fleet.placed_tasks)
+    placed_before = len(fleet.placed_tasks)
     for number in range(1, 5):
-        answer = fleet.move(f"n{number}", "n0", SHIFTED // 4, f"r-{number}")
+        answer = fleet.move(f"n{number}", "n0", MOVE_COUNT // 4, f"r-{number}")
         print(f"request {number}: {answer.status} {answer.body.get('error', '')}")
-        # One request for a scope's counts after the other: each counts from the last one's.
-        began, wall = fleet.now, time.process_time()
-        fleet.run_until(lambda n=number: fleet.handovers[(f"n{n}", "n0")] >= SHIFTED // 4, 300.0)  # type: ignore[misc]
+        # Requests for the same scope come one after the other, since each one counts from the
+        # machines that the previous one left.
+        started_at_s, processor_start_s = fleet.now, time.process_time()
+        fleet.run_until(lambda n=number: fleet.handovers[(f"n{n}", "n0")] >= MOVE_COUNT // 4, 300.0)  # type: ignore[misc]
         print(
-            f"{SHIFTED // 4} of {len(fleet.up())} machines in {fleet.now - began:.1f} s, "
-            f"{time.process_time() - wall:.1f} s of processor time for all of it; "
-            f"{len(fleet.placed_tasks)} of {before} tasks still run",
+            f"{MOVE_COUNT // 4} of {len(fleet.up())} machines in {fleet.now - started_at_s:.1f} s, "
+            f"{time.process_time() - processor_start_s:.1f} s of processor time for all of it; "
+            f"{len(fleet.placed_tasks)} of {placed_before} tasks still run",
             flush=True,
         )
     fleet.run(fleet.now + 30.0)
     writes = sum((n.get("Set") or n["Remove"]).startswith("cf/s/") for n in fleet.store.changes)
     print(
         f"{writes} changes of ownership records, "
-        f"{len(fleet.placed_tasks)} of {before} tasks still run"
+        f"{len(fleet.placed_tasks)} of {placed_before} tasks still run"
     )
     assert fleet.wait_for_leader().core.view.format_level == records.SHARES_LEVEL
 
 
 def main() -> None:
+    """Measure each seed, or `large`, that is given on the command line."""
     for word in sys.argv[1:]:
         if word == "large":
             large()
