--- a/coursefold/cells/policy.py
+++ b/coursefold/cells/policy.py
@@ -1,106 +1,132 @@
-"""Whether a waiting job spills, and where to.
+"""Decides which waiting jobs move to another cell, and to which one.
 
-A job is worth moving when its expected wait here exceeds the one there by more than the move
-costs: the image's fetch, the handover, and a dearer slot, weighed by the paper's η, in which
-a second of wait is worth (1-η)/η of a second's price. A deadline that would be missed here
-and met there decides without the operators' margin.
+A job moves when its expected wait here exceeds the expected wait there by more than the cost of
+the move and the operators' margin. The cost is the time of the image fetch and of the handover,
+and the higher price of slots: with the policy's η, one unit of price weighs as much as (1-η)/η
+seconds of wait. The margin does not apply to a job whose deadline would be missed here and met
+there.
 """
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
 from coursefold.cells.config import SpillLimits
-from coursefold.cells.estimate import Expectation, Pools, fetch_s
+from coursefold.cells.estimate import ExpectedWait, PoolEstimator, image_fetch_s
 from coursefold.coordination.demand import slots_of_task
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
 
-HANDOVER_S = 3.0  # offer, reservation and grant: a commit and a frame each
-LOOKED_AT = 200  # jobs in one round, those with the longest waits
+HANDOVER_DELAY_S = 3.0  # offer, reservation and grant take a commit and a frame each
+MAX_CANDIDATES = 200  # jobs considered in one round, those with the longest waits
 
 
-class Candidate(NamedTuple):
-    """A job that may be moved."""
+class SpillCandidate(NamedTuple):
+    """A waiting job that may be moved.
+
+    Attributes:
+        task_count: Its waiting tasks.
+        home_wait_s: Expected wait in this cell.
+        run_s: Mean run time of its tasks.
+        price_per_slot_s: Price of a slot in this cell, per second.
+        deadline_in_s: Seconds from now until its deadline; None without one.
+        excluded_cell: A cell that it returned from a moment ago; may be empty.
+    """
 
     name: JobId
     spec: Job
-    tasks: int
-    here_s: float
+    task_count: int
+    home_wait_s: float
     run_s: float
-    price: float  # of a slot here, per second
-    due_in_s: float | None
-    avoid: str = ""  # a cell that it came back from a moment ago
+    price_per_slot_s: float
+    deadline_in_s: float | None
+    excluded_cell: str = ""
 
 
-class Choice(NamedTuple):
-    """A job, the cell it is offered to, and both expected waits."""
+class SpillChoice(NamedTuple):
+    """A job, the cell to offer it to, the expected waits in both cells, and why it moves."""
 
     name: JobId
     cell: str
-    here_s: float
-    there_s: float
-    why: str
-
-
-class Target(NamedTuple):
-    """A cell that may be offered work."""
-
-    pools: Pools
-    room: int  # offers that it may still be made
-
-
-def cost_s(candidate: Candidate, pools: Pools, at: int, eta: float) -> float:
-    """What moving costs, in seconds of wait."""
-    pool = pools.states[at]
-    dearer = max(0.0, pool.price - candidate.price)
-    slot_seconds = candidate.run_s * slots_of_task(candidate.spec, pool.kind)
-    return HANDOVER_S + fetch_s(candidate.spec, pool) + (1 - eta) / eta * dearer * slot_seconds
-
-
-def _gain(candidate: Candidate, target: Target, eta: float) -> tuple[float, Expectation] | None:
-    found = target.pools.best(candidate.spec, candidate.tasks)
-    if found is None:
+    home_wait_s: float
+    remote_wait_s: float
+    reason: str
+
+
+class SpillTarget(NamedTuple):
+    """A cell that may be offered jobs."""
+
+    pools: PoolEstimator
+    max_offers: int  # further offers that it may be made now
+
+
+def move_cost_s(
+    candidate: SpillCandidate, pools: PoolEstimator, pool_index: int, eta: float
+) -> float:
+    """Return the cost of moving the job to the pool, expressed in seconds of wait."""
+    pool = pools.states[pool_index]
+    extra_price = max(0.0, pool.price_per_slot_s - candidate.price_per_slot_s)
+    slot_seconds = candidate.run_s * slots_of_task(candidate.spec, pool.type_info)
+    return (
+        HANDOVER_DELAY_S
+        + image_fetch_s(candidate.spec, pool)
+        + (1 - eta) / eta * extra_price * slot_seconds
+    )
+
+
+def _compute_gain(
+    candidate: SpillCandidate, target: SpillTarget, eta: float
+) -> tuple[float, ExpectedWait] | None:
+    """Return the seconds gained by moving the job, and its wait there; None if it cannot run."""
+    expected = target.pools.find_shortest_wait(candidate.spec, candidate.task_count)
+    if expected is None:
         return None
-    cost = cost_s(candidate, target.pools, found.pool, eta)
-    return candidate.here_s - found.wait - cost, found
-
-
-def _why(candidate: Candidate, gain: float, there_s: float, limits: SpillLimits) -> str:
-    """Why the job is moved; empty if it is not."""
-    if gain > limits.min_gain_s:
-        return f"saves {gain:.0f} s"
-    due = candidate.due_in_s
-    if due is None or gain <= 0:
+    cost = move_cost_s(candidate, target.pools, expected.pool_index, eta)
+    return candidate.home_wait_s - expected.wait_s - cost, expected
+
+
+def _find_spill_reason(
+    candidate: SpillCandidate, gain_s: float, remote_wait_s: float, limits: SpillLimits
+) -> str:
+    """Return why the job moves; empty if it stays."""
+    if gain_s > limits.min_gain_s:
+        return f"saves {gain_s:.0f} s"
+    deadline_in_s = candidate.deadline_in_s
+    if deadline_in_s is None or gain_s <= 0:
         return ""
-    late_here = candidate.here_s + candidate.run_s > due
-    late_there = there_s + HANDOVER_S + candidate.run_s > due
-    return "its deadline would be missed here" if late_here and not late_there else ""
+    is_late_here = candidate.home_wait_s + candidate.run_s > deadline_in_s
+    is_late_there = remote_wait_s + HANDOVER_DELAY_S + candidate.run_s > deadline_in_s
+    return "its deadline would be missed here" if is_late_here and not is_late_there else ""
 
 
-def choose(
-    candidates: Iterable[Candidate],
-    targets: Mapping[str, Target],
+def choose_moves(
+    candidates: Iterable[SpillCandidate],
+    targets: Mapping[str, SpillTarget],
     limits: SpillLimits,
     eta: float,
-) -> list[Choice]:
-    """Which jobs to offer now, the longest waits first; each fills its target's pools."""
-    room = {name: target.room for name, target in targets.items()}
-    longest = sorted(candidates, key=lambda c: (-c.here_s, c.name))[:LOOKED_AT]
-    found: list[Choice] = []
-    for candidate in longest:
-        best: tuple[float, str, Expectation] | None = None
+) -> list[SpillChoice]:
+    """Return the offers to make now, longest waits first.
+
+    The load of each chosen job is added to the pools of its target.
+    """
+    remaining_offers = {name: target.max_offers for name, target in targets.items()}
+    by_wait = sorted(candidates, key=lambda c: (-c.home_wait_s, c.name))[:MAX_CANDIDATES]
+    choices: list[SpillChoice] = []
+    for candidate in by_wait:
+        best: tuple[float, str, ExpectedWait] | None = None
         for cell, target in targets.items():
-            if room[cell] <= 0 or cell == candidate.avoid:
+            if remaining_offers[cell] <= 0 or cell == candidate.excluded_cell:
                 continue
-            gain = _gain(candidate, target, eta)
+            gain = _compute_gain(candidate, target, eta)
             if gain is not None and (best is None or gain[0] > best[0]):
                 best = (gain[0], cell, gain[1])
         if best is None:
             continue
-        gained, cell, there = best
-        why = _why(candidate, gained, there.wait, limits)
-        if why:
-            targets[cell].pools.take(there.pool, candidate.spec, candidate.tasks)
-            room[cell] -= 1
-            found.append(Choice(candidate.name, cell, candidate.here_s, there.wait, why))
-    return found
+        gain_s, cell, expected = best
+        reason = _find_spill_reason(candidate, gain_s, expected.wait_s, limits)
+        if reason:
+            targets[cell].pools.add_load(expected.pool_index, candidate.spec, candidate.task_count)
+            remaining_offers[cell] -= 1
+            choices.append(
+                SpillChoice(candidate.name, cell, candidate.home_wait_s, expected.wait_s, reason)
+            )
+    return choices
--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -5,20 +5,26 @@
 a team's use counts in whichever cell it occurs.
 """
 
-import random
-from collections.abc import Callable
-from typing import Any
 
-import msgspec
 
+import msgspec
+import random
+from collections.abc import Callable
 from coursefold.cells.cells import Cells
-from coursefold.cells.config import CellsConfig, CellsFile
+from coursefold.cells.config import CellsConfig
+from coursefold.cells.config import CellsFile
 from coursefold.settings import Settings
-from coursefold.storage import codec, records
-from coursefold.storage.cell_records import DelegationStage, GuestStage
+from coursefold.storage import codec
+from coursefold.storage import records
+from coursefold.storage.cell_records import DelegationStage
+from coursefold.storage.cell_records import GuestStage
 from coursefold.storage.records import JobRecord
-from tests.fleet import Fleet, Node
+from tests.fleet import Fleet
+from tests.fleet import Node
 from tests.world import SETTINGS
+from typing import Any
+
+
 
 STEP_S = 0.02
 FRAME_PERIOD_S = 0.5
@@ -74,7 +80,7 @@
         """Send a controller's frames to all controllers of another cell."""
         for number in range(NODES):
             node.enter()
-            frame = cells.frame(other, f"n{number}")
+            frame = cells.build_frame(other, f"n{number}")
             if frame and not self.vanished:
                 self.world.deliver(self.name, other, number, frame)
 
@@ -87,7 +93,7 @@
         if node.defer_while_frozen(lambda: self.receive_frame(number, frame, address)):
             return
         node.enter()
-        cells.take(frame, address)
+        cells.receive_frame(frame, address)
 
     def vanish(self) -> None:
         """Stop the controllers, the machines and the state service for good."""
--- a/tests/measure_shares.py
+++ b/tests/measure_shares.py
@@ -5,18 +5,26 @@
 4,000 machines.
 """
 
+
+
 import random
 import sys
 import time
 from collections import defaultdict
-from typing import Any, NamedTuple
-
-from coursefold.histograms import new_histogram, record_seconds, summarize
+from coursefold.histograms import new_histogram
+from coursefold.histograms import record_seconds
+from coursefold.histograms import summarize
 from coursefold.storage import records
 from coursefold.storage.codec import json_size_bytes
-from tests.measure_size import CLOUD, STATE, TIMING
+from tests.measure_size import CLOUD
+from tests.measure_size import STATE
+from tests.measure_size import TIMING
 from tests.shares_world import SharesFleet
 from tests.world import EPOCH
+from typing import Any
+from typing import NamedTuple
+
+
 
 BEGIN_S, LOAD_S, END_S = 20.0, 150.0, 400.0
 CAPACITY = 200
@@ -118,10 +126,10 @@
     for number, shares in fleet.shares.items():
         if (
             fleet.nodes[number] is fleet.wait_for_leader()
-            and shares.durations.handover.get_total_count()
+            and shares.durations.handover_s.get_total_count()
         ):
-            show("  until the handover", shares.durations.handover)
-            show("  until the new owner shows it", shares.durations.shown)
+            show("  until the handover", shares.durations.handover_s)
+            show("  until the new owner shows it", shares.durations.visible_s)
 
 
 def show(title: str, histogram: Any) -> None:
