--- a/tests/cells_world.py
+++ b/tests/cells_world.py
@@ -5,26 +5,20 @@
 a team's use counts in whichever cell it occurs.
 """
 
-
-
-import msgspec
 import random
 from collections.abc import Callable
+from typing import Any
+
+import msgspec
+
 from coursefold.cells.cells import Cells
-from coursefold.cells.config import CellsConfig
-from coursefold.cells.config import CellsFile
+from coursefold.cells.config import CellsConfig, CellsFile
 from coursefold.settings import Settings
-from coursefold.storage import codec
-from coursefold.storage import records
-from coursefold.storage.cell_records import DelegationStage
-from coursefold.storage.cell_records import GuestStage
+from coursefold.storage import codec, records
+from coursefold.storage.cell_records import DelegationStage, GuestStage
 from coursefold.storage.records import JobRecord
-from tests.fleet import Fleet
-from tests.fleet import Node
+from tests.fleet import Fleet, Node
 from tests.world import SETTINGS
-from typing import Any
-
-
 
 STEP_S = 0.02
 FRAME_PERIOD_S = 0.5
--- a/tests/measure_shares.py
+++ b/tests/measure_shares.py
@@ -5,26 +5,18 @@
 4,000 machines.
 """
 
-
-
 import random
 import sys
 import time
 from collections import defaultdict
-from coursefold.histograms import new_histogram
-from coursefold.histograms import record_seconds
-from coursefold.histograms import summarize
+from typing import Any, NamedTuple
+
+from coursefold.histograms import new_histogram, record_seconds, summarize
 from coursefold.storage import records
 from coursefold.storage.codec import json_size_bytes
-from tests.measure_size import CLOUD
-from tests.measure_size import STATE
-from tests.measure_size import TIMING
+from tests.measure_size import CLOUD, STATE, TIMING
 from tests.shares_world import SharesFleet
 from tests.world import EPOCH
-from typing import Any
-from typing import NamedTuple
-
-
 
 BEGIN_S, LOAD_S, END_S = 20.0, 150.0, 400.0
 CAPACITY = 200
