--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -462,7 +462,7 @@
                 lambda: True,
             )
 
-    def task_stopped(self, order: Command) -> None:
+    def task_stopped(self, command: Command) -> None:
         """Hook for subclasses, called when a worker is commanded to stop a live task."""
 
     def run_received(self, job: UserJob) -> None:
--- a/tests/fleet_jobs.py
+++ b/tests/fleet_jobs.py
@@ -75,7 +75,7 @@
         return self.told_status in ("done", "cancelled")
 
     def complete(self) -> bool:
-        """Return whether all tasks have finished; of a gang, one stands for all."""
+        """Return whether all tasks have finished; for a gang, whether one of them has."""
         return bool(self.done) if self.is_gang else len(self.done) == self.size
 
     def cancellation_told_at(self) -> float:
--- a/tests/fleet_worker.py
+++ b/tests/fleet_worker.py
@@ -24,7 +24,7 @@
         hung_until: The machine is suspended until then.
         reports_lost_until: Reports of this machine are lost until then.
         session: Number of the agent's session; raised whenever its lease expires.
-        sequence: Number of the last report or direct command of the session.
+        sequence: Sequence number, raised by each report and each direct command.
         token: The highest fencing token that a controller has shown.
         lease_started_at: When the last report that got a response was sent.
         node: Number of the controller that gets the next report.
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -53,18 +53,18 @@
     """Mark the listed tests as expected failures; the run fails if one of them passes."""
     by_id = {item.nodeid: item for item in items}
     collected = {item.nodeid.partition("::")[0] for item in items}
-    for red in read_known_red(config.rootpath):
-        item = by_id.get(red.test)
-        file = red.test.partition("::")[0]
+    for entry in read_known_red(config.rootpath):
+        item = by_id.get(entry.test)
+        file = entry.test.partition("::")[0]
         if item is not None:
             item.add_marker(
-                pytest.mark.xfail(strict=True, reason=f"{red.cause}, issue {red.issue}")
+                pytest.mark.xfail(strict=True, reason=f"{entry.cause}, issue {entry.issue}")
             )
         elif file in collected or not (config.rootpath / file).exists():
-            raise pytest.UsageError(f"{FILE_NAME}: there is no test {red.test}")
+            raise pytest.UsageError(f"{FILE_NAME}: there is no test {entry.test}")
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
     """Print the listed tests with their causes."""
-    for red in read_known_red(terminalreporter.config.rootpath):
-        terminalreporter.write_line(f"known red: {red.test}: {red.cause} (issue {red.issue})")
+    for entry in read_known_red(terminalreporter.config.rootpath):
+        terminalreporter.write_line(f"known red: {entry.test}: {entry.cause} (issue {entry.issue})")
--- a/tests/measure_cells.py
+++ b/tests/measure_cells.py
@@ -59,7 +59,7 @@
     return cell_and_class
 
 
-def play(seed: int, spills: bool, lost: bool = False) -> Result:
+def run_seed(seed: int, spills: bool, lost: bool = False) -> Result:
     """Run one seed.
 
     Args:
@@ -127,9 +127,9 @@
 def main() -> None:
     """Measure each seed that is given on the command line."""
     for seed in map(int, sys.argv[1:]):
-        show(f"seed {seed}, without spilling", play(seed, spills=False))
-        show(f"seed {seed}, with spilling", play(seed, spills=True))
-        show(f"seed {seed}, a cell vanishes", play(seed, spills=True, lost=True))
+        show(f"seed {seed}, without spilling", run_seed(seed, spills=False))
+        show(f"seed {seed}, with spilling", run_seed(seed, spills=True))
+        show(f"seed {seed}, a cell vanishes", run_seed(seed, spills=True, lost=True))
 
 
 if __name__ == "__main__":
--- a/tests/measure_shares.py
+++ b/tests/measure_shares.py
@@ -88,7 +88,7 @@
         fleet.after(move.every_s, lambda: request_moves(fleet, rng, move))
 
 
-def play(seed: int, move: Move | None) -> None:
+def run_seed(seed: int, move: Move | None) -> None:
     """Run one seed and print its figures."""
     fleet = SharesFleet(seed, CAPACITY, moves=FAST)
     kinds = submit_all(fleet, seed)
@@ -180,7 +180,7 @@
             large()
             continue
         for move in (None, *MOVES):
-            play(int(word), move)
+            run_seed(int(word), move)
 
 
 if __name__ == "__main__":
