--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,29 +1,32 @@
-"""What a change of the roster means to those in it."""
+"""Effects of a roster change on the owners of machines and on the leader."""
 
 from coursefold.coordination.rendezvous import hash_owner
 from coursefold.storage import records
 from coursefold.storage.records import MemberRecord, Roster
 from tests.world import World
 
-THREE = [MemberRecord("n0", 1, "a"), MemberRecord("n1", 2, "b"), MemberRecord("n2", 3, "a")]
+THREE_MEMBERS = [MemberRecord("n0", 1, "a"), MemberRecord("n1", 2, "b"), MemberRecord("n2", 3, "a")]
 
 
-def test_parting_is_near_and_moves_only_what_it_must() -> None:
-    full = Roster("n0", THREE)
+def test_owners_are_in_the_machines_zone_and_change_only_with_their_member() -> None:
+    full = Roster("n0", THREE_MEMBERS)
     machines = [f"i-{n}" for n in range(200)]
     before = {m: hash_owner(m, "a", full) for m in machines}
     assert set(before.values()) == {"n0", "n2"}
     assert {hash_owner(m, "b", full) for m in machines} == {"n1"}
-    without = Roster("n0", THREE[:2])
-    for machine, was in before.items():
+    without = Roster("n0", THREE_MEMBERS[:2])
+    for machine, former_owner in before.items():
         assert hash_owner(machine, "a", without) == "n0"
-        assert was in ("n0", "n2")
-    again = Roster("n0", [MemberRecord("n0", 9, "a"), *THREE[1:]])
+        assert former_owner in ("n0", "n2")
+    again = Roster("n0", [MemberRecord("n0", 9, "a"), *THREE_MEMBERS[1:]])
     assert {m: hash_owner(m, "a", again) for m in machines} == before
 
 
-def test_an_owner_that_returns_does_not_give_up_what_its_stand_in_heard() -> None:
-    """Seen: a node cut off for 45 s came back, and nine live machines were returned."""
+def test_a_returning_owner_keeps_machines_that_reported_to_their_interim_owner() -> None:
+    """A controller that comes back after a cut of 45 s has old report times for its machines.
+
+    Were they taken for silent, live machines would be returned (nine of them in one case).
+    """
     world = World()
     pair = Roster("n1", [MemberRecord("n0", 1, "a"), MemberRecord("n1", 2, "a")])
     machine = next(m for m in (f"i-{n}" for n in range(99)) if hash_owner(m, "a", pair) == "n0")
@@ -38,8 +41,8 @@
     assert not world.core.ctx.machines[machine].lease_expired
 
 
-def test_nobody_decides_before_the_news_has_come_as_far_as_the_roster() -> None:
-    """The answer to our own commit may overtake what former owners wrote before it."""
+def test_a_controller_is_inactive_until_its_view_has_reached_the_rosters_revision() -> None:
+    """The response to its own commit may arrive before updates that former owners wrote."""
     world = World()
     ctx = world.core.ctx
     assert ctx.is_active()
@@ -50,7 +53,7 @@
 
 
 def test_controllers_that_come_back_together_make_one_roster() -> None:
-    """Each roster is a token that all workers have to be told, and to show."""
+    """Each roster is a new fencing token that all workers have to receive and to confirm."""
     world = World()
     rosters = [world.core.view.fencing_token]
     for member, zone in (("n1", "b"), ("n2", "a")):
@@ -63,7 +66,7 @@
     assert roster is not None
     assert [m.name for m in roster.members] == ["n0", "n1", "n2"]
     assert len(set(rosters)) == 2
-    # A member that is lost is not waited for: its machines have no owner.
+    # The removal of a lost member is not delayed: its machines have no owner.
     world.store.end(
         next(p for p, _ in world.store.leases.items() if p == roster.members[1].lease_id)
     )
@@ -73,21 +76,24 @@
     assert [m.name for m in roster.members] == ["n0", "n2"]
 
 
-def test_who_hears_nobody_takes_nobody_for_gone() -> None:
-    """Siblings refuse each other; workers of a member that was cut off before still knock."""
+def test_a_controller_without_contact_to_siblings_removes_no_member() -> None:
+    """Siblings refuse each other, and workers of a member that was cut off report here.
+
+    Their complaints count only when another sibling is heard.
+    """
     world = World()
     for member, zone in (("n1", "b"), ("n2", "a")):
         world.join(member, zone)
     world.run(6.0)
     token = world.core.view.fencing_token
-    knocking = (f"i-{n}" for n in range(9))
-    for machine in knocking:
+    machines = (f"i-{n}" for n in range(9))
+    for machine in machines:
         for _ in range(3):
             world.report(machine, [], Site="b")
             world.run(world.now + 0.6)
     assert "n1" in world.core.election.unreachable_for_workers()
     assert world.core.view.fencing_token == token
-    world.peer(world.peer_frame("n2", 0.2))  # one that we hear is a witness
+    world.peer(world.peer_frame("n2", 0.2))  # contact to one sibling is enough
     world.run(world.now + 1.0)
     roster = world.core.view.roster
     assert roster is not None
