--- a/coursefold/cells/edits.py
+++ b/coursefold/cells/edits.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Struct
 
-from coursefold.cells.messages import GuestState, Handle, Offer, Ranges
+from coursefold.cells.messages import GuestState, Handle, Offer, TaskRanges
 from coursefold.coordination.jobs import end_if_complete
 from coursefold.storage import records
 from coursefold.storage.cell_records import CellLink, Delegation, DelegationStage, Guest, GuestStage
@@ -17,125 +17,136 @@
 replace = msgspec.structs.replace
 
 
-def merged(done: Ranges, more: Ranges) -> Ranges:
+def merge_ranges(ranges: TaskRanges, added: TaskRanges) -> TaskRanges:
     """Ranges of task numbers brought together, in order."""
-    found: Ranges = []
-    for low, high in sorted([*done, *more]):
-        if found and low <= found[-1][1] + 1:
-            found[-1] = (found[-1][0], max(high, found[-1][1]))
+    merged: TaskRanges = []
+    for first, last in sorted([*ranges, *added]):
+        if merged and first <= merged[-1][1] + 1:
+            merged[-1] = (merged[-1][0], max(last, merged[-1][1]))
         else:
-            found.append((low, high))
-    return found
+            merged.append((first, last))
+    return merged
 
 
 # The home cell's
 
 
-def _away(record: Struct | None, cell: str, handle: Handle) -> tuple[JobRecord, Delegation]:
+def _require_delegation(
+    record: Struct | None, cell: str, handle: Handle
+) -> tuple[JobRecord, Delegation]:
     """The record, if the job is away under this epoch."""
     if not isinstance(record, JobRecord) or record.delegation is None:
         raise NotApplicableError("not away")
-    away = record.delegation
-    if not record.is_delegated or (away.guest_cell, away.epoch) != (cell, handle.epoch):
+    delegation = record.delegation
+    if not record.is_delegated or (delegation.guest_cell, delegation.epoch) != (cell, handle.epoch):
         raise NotApplicableError("away under another epoch")
-    return record, away
+    return record, delegation
 
 
-def offer(away: Delegation, ready: float) -> Change:
+def offer_job(delegation: Delegation, ready_at: float) -> Change:
     """From here on nothing of the job starts at home, until it has come back."""
 
     def change(record: Struct | None) -> EditResult:
         if not isinstance(record, JobRecord) or record.status != records.LIVE:
             raise NotApplicableError("over")
-        last = record.delegation.epoch if record.delegation else 0
+        last_epoch = record.delegation.epoch if record.delegation else 0
         if (
             record.is_delegated
             or record.entries
             or record.guest is not None
-            or away.epoch != last + 1
+            or delegation.epoch != last_epoch + 1
         ):
             raise NotApplicableError("not waiting")
         return replace(
             record,
-            delegation=away,
+            delegation=delegation,
             open_prerequisites=[],
-            ready_at=ready if record.open_prerequisites else record.ready_at,
+            ready_at=ready_at if record.open_prerequisites else record.ready_at,
         )
 
     return change
 
 
-def grant(cell: str, handle: Handle, wall: float) -> Change:
+def grant_job(cell: str, handle: Handle, wall_time: float) -> Change:
     """The guest cell has reserved room: it may start the job, for as long as the grant holds."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _away(record, cell, handle)
-        if away.stage != DelegationStage.OFFERED or job.status != records.LIVE:
+        job, delegation = _require_delegation(record, cell, handle)
+        if delegation.stage != DelegationStage.OFFERED or job.status != records.LIVE:
             raise NotApplicableError("not offered")
         granted = replace(
-            away,
+            delegation,
             stage=DelegationStage.GRANTED,
             reservation=handle.reservation,
-            stage_started_at=wall,
+            stage_started_at=wall_time,
         )
         return replace(job, delegation=granted)
 
     return change
 
 
-def mark_running(cell: str, handle: Handle, wall: float) -> Change:
+def mark_running(cell: str, handle: Handle, wall_time: float) -> Change:
     """The guest cell says that tasks run: for the job's user."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _away(record, cell, handle)
-        if away.stage != DelegationStage.GRANTED or away.reservation != handle.reservation:
+        job, delegation = _require_delegation(record, cell, handle)
+        if (
+            delegation.stage != DelegationStage.GRANTED
+            or delegation.reservation != handle.reservation
+        ):
             raise NotApplicableError("not granted")
         return replace(
-            job, delegation=replace(away, stage=DelegationStage.RUNNING, stage_started_at=wall)
+            job,
+            delegation=replace(
+                delegation, stage=DelegationStage.RUNNING, stage_started_at=wall_time
+            ),
         )
 
     return change
 
 
-def note_progress(cell: str, handle: Handle, done: Ranges) -> Change:
+def note_progress(cell: str, handle: Handle, done: TaskRanges) -> Change:
     """Tasks that the guest cell says are done: shown to users, and not repeated if it is lost."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _away(record, cell, handle)
-        if away.stage == DelegationStage.OFFERED or away.reservation != handle.reservation:
+        job, delegation = _require_delegation(record, cell, handle)
+        if (
+            delegation.stage == DelegationStage.OFFERED
+            or delegation.reservation != handle.reservation
+        ):
             raise NotApplicableError("another reservation")
-        return replace(job, done_ranges=_with_done(job, done))
+        return replace(job, done_ranges=_add_done_ranges(job, done))
 
     return change
 
 
-def _with_done(job: JobRecord, done: Ranges) -> Ranges:
+def _add_done_ranges(job: JobRecord, done: TaskRanges) -> TaskRanges:
     """The job's done tasks and those that it has been told of."""
-    found = merged(job.done_ranges, done)
-    if found == job.done_ranges or found[-1][1] >= job.spec.task_count:
+    merged = merge_ranges(job.done_ranges, done)
+    if merged == job.done_ranges or merged[-1][1] >= job.spec.task_count:
         raise NotApplicableError("nothing new, or no such task")
-    return found
+    return merged
 
 
-def withdraw(cell: str, handle: Handle, wall: float, why: str) -> Change:
+def withdraw_job(cell: str, handle: Handle, wall_time: float, reason: str) -> Change:
     """Have the guest cell stop and release the job."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _away(record, cell, handle)
-        if away.stage not in (DelegationStage.GRANTED, DelegationStage.RUNNING):
+        job, delegation = _require_delegation(record, cell, handle)
+        if delegation.stage not in (DelegationStage.GRANTED, DelegationStage.RUNNING):
             raise NotApplicableError("not granted")
         return replace(
             job,
             delegation=replace(
-                away, stage=DelegationStage.WITHDRAWN, stage_started_at=wall, why=why
+                delegation, stage=DelegationStage.WITHDRAWN, stage_started_at=wall_time, why=reason
             ),
         )
 
     return change
 
 
-def take_back(
-    cell: str, handle: Handle, wall: float, why: str, told: GuestState | None = None
+def return_job(
+    cell: str, handle: Handle, wall_time: float, reason: str, guest_state: GuestState | None = None
 ) -> Change:
     """The job is at home again: on the guest cell's word, on proof, or before any grant.
 
@@ -143,24 +154,36 @@
     """
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _away(record, cell, handle)
-        if away.stage != DelegationStage.OFFERED and away.reservation != handle.reservation:
+        job, delegation = _require_delegation(record, cell, handle)
+        if (
+            delegation.stage != DelegationStage.OFFERED
+            and delegation.reservation != handle.reservation
+        ):
             raise NotApplicableError("another reservation")
-        back = replace(away, stage=DelegationStage.HOME, stage_started_at=wall, why=why)
-        if told is not None:
-            done = [r for r in merged(job.done_ranges, told.done) if r[1] < job.spec.task_count]
-            job = replace(job, done_ranges=done, attempt=max(job.attempt, told.attempt))
-        return end_if_complete(replace(job, delegation=back))
+        returned = replace(
+            delegation, stage=DelegationStage.HOME, stage_started_at=wall_time, why=reason
+        )
+        if guest_state is not None:
+            done = [
+                r
+                for r in merge_ranges(job.done_ranges, guest_state.done_ranges)
+                if r[1] < job.spec.task_count
+            ]
+            job = replace(job, done_ranges=done, attempt=max(job.attempt, guest_state.attempt))
+        return end_if_complete(replace(job, delegation=returned))
 
     return change
 
 
-def finish(cell: str, handle: Handle) -> Change:
+def finish_job(cell: str, handle: Handle) -> Change:
     """The guest cell has finished the job."""
 
     def change(record: Struct | None) -> EditResult:
-        job, away = _away(record, cell, handle)
-        if away.stage == DelegationStage.OFFERED or away.reservation != handle.reservation:
+        job, delegation = _require_delegation(record, cell, handle)
+        if (
+            delegation.stage == DelegationStage.OFFERED
+            or delegation.reservation != handle.reservation
+        ):
             raise NotApplicableError("another reservation")
         if job.status == records.CANCELLED:
             return Ending(records.CANCELLED, job.spec.task_count)
@@ -169,14 +192,14 @@
     return change
 
 
-def extend_grant(until: float, span: float, gone_s: float) -> Change:
+def extend_grant(until: float, span_s: float, lease_s: float) -> Change:
     """Written before the guest cell is told: no successor takes a job back sooner."""
 
     def change(record: Struct | None) -> EditResult:
         link = record if isinstance(record, CellLink) else CellLink()
         if until <= link.granted_until:
             raise NotApplicableError("granted for longer")
-        return replace(link, granted_until=until, granted_s=span, granted_lease_s=gone_s)
+        return replace(link, granted_until=until, granted_s=span_s, granted_lease_s=lease_s)
 
     return change
 
@@ -184,26 +207,26 @@
 # The guest cell's
 
 
-def reserve(home: str, item: Offer, reservation: str, wall: float) -> Change:
+def reserve_job(home: str, offer: Offer, reservation: str, wall_time: float) -> Change:
     """Promise room for another cell's job; nothing of it starts yet."""
 
     def change(record: Struct | None) -> EditResult:
         if record is not None:
             raise NotApplicableError("the id is taken here")
-        guest = Guest(home, item.handle.epoch, reservation, GuestStage.RESERVED, wall)
+        guest = Guest(home, offer.handle.epoch, reservation, GuestStage.RESERVED, wall_time)
         return JobRecord(
-            item.spec,
-            item.at,
-            attempt=item.attempt,
-            done_ranges=item.done,
-            ready_at=wall,
+            offer.spec,
+            offer.accepted_at,
+            attempt=offer.attempt,
+            done_ranges=offer.done_ranges,
+            ready_at=wall_time,
             guest=guest,
         )
 
     return change
 
 
-def _guest(record: Struct | None, home: str, handle: Handle) -> tuple[JobRecord, Guest]:
+def _require_guest(record: Struct | None, home: str, handle: Handle) -> tuple[JobRecord, Guest]:
     if not isinstance(record, JobRecord) or record.guest is None:
         raise NotApplicableError("not a guest")
     guest = record.guest
@@ -216,39 +239,41 @@
     return record, guest
 
 
-def accept_grant(home: str, handle: Handle, wall: float) -> Change:
+def accept_grant(home: str, handle: Handle, wall_time: float) -> Change:
     """Home has granted the reservation: its tasks may be placed."""
 
     def change(record: Struct | None) -> EditResult:
-        job, guest = _guest(record, home, handle)
+        job, guest = _require_guest(record, home, handle)
         if guest.stage != GuestStage.RESERVED or job.status != records.LIVE:
             raise NotApplicableError("not reserved")
-        return replace(job, guest=replace(guest, stage=GuestStage.GRANTED, stage_started_at=wall))
+        return replace(
+            job, guest=replace(guest, stage=GuestStage.GRANTED, stage_started_at=wall_time)
+        )
 
     return change
 
 
-def revoke(home: str, handle: Handle) -> Change:
+def revoke_job(home: str, handle: Handle) -> Change:
     """Nothing of it starts any more; what has a place is stopped, and then it is released."""
 
     def change(record: Struct | None) -> EditResult:
-        job, guest = _guest(record, home, handle)
+        job, guest = _require_guest(record, home, handle)
         if job.status != records.LIVE or guest.stage not in (
             GuestStage.RESERVED,
             GuestStage.GRANTED,
         ):
             raise NotApplicableError("revoked")
-        kept = [entry for entry in job.entries if entry.stage != records.ASSIGNED]
-        return end_if_complete(replace(job, status=records.CANCELLED, entries=kept))
+        remaining_entries = [entry for entry in job.entries if entry.stage != records.ASSIGNED]
+        return end_if_complete(replace(job, status=records.CANCELLED, entries=remaining_entries))
 
     return change
 
 
-def forget(home: str, handle: Handle) -> Change:
+def delete_guest(home: str, handle: Handle) -> Change:
     """Its home has confirmed what became of it, or never granted it: the record goes."""
 
     def change(record: Struct | None) -> EditResult:
-        job, guest = _guest(record, home, handle)
+        job, guest = _require_guest(record, home, handle)
         if job.entries or guest.stage == GuestStage.GRANTED:
             raise NotApplicableError("it may still run")
         return DeleteKey()
@@ -256,13 +281,13 @@
     return change
 
 
-def hold_grant(until: float, span: float) -> Change:
+def record_held_grant(until: float, span_s: float) -> Change:
     """What home has told us: guests may run until then."""
 
     def change(record: Struct | None) -> EditResult:
         link = record if isinstance(record, CellLink) else CellLink()
         if until <= link.held_until:
             raise NotApplicableError("known")
-        return replace(link, held_until=until, held_s=span)
+        return replace(link, held_until=until, held_s=span_s)
 
     return change
--- a/coursefold/shares/shares.py
+++ b/coursefold/shares/shares.py
@@ -1,69 +1,71 @@
-"""A controller's part in the shares: rounds, operators' commands, its condition."""
+"""Connects shares to a controller's core: rounds, operators' commands, health status."""
 
 from typing import Any
 
 from coursefold.coordination.core import Core
-from coursefold.shares.commands import Commands, shown
+from coursefold.shares.commands import OperatorCommands, describe_request
 from coursefold.shares.config import SharesConfig
-from coursefold.shares.durations import Durations
-from coursefold.shares.handover import Handover
-from coursefold.shares.planner import Planner
+from coursefold.shares.durations import MoveDurations
+from coursefold.shares.handover import HandoverManager
+from coursefold.shares.planner import MovePlanner
 from coursefold.shares.port import CorePort
 from coursefold.storage import records
 
-MOVES_SHOWN = 50
+MAX_LISTED_MOVES = 50
 
 
 class Shares:
-    """Attached to a controller's core; without I/O, clock or randomness, as that is."""
+    """Extension of a controller's core; like the core it has no I/O, clock or randomness."""
 
     def __init__(self, config: SharesConfig, core: Core) -> None:
         self.port = CorePort(core)
-        self.handover = Handover(self.port)
-        self.planner = Planner(config, self.port)
-        self.durations = Durations(self.port)
-        self.commands = Commands(self.port, self.planner, config.controllers)
+        self.handover = HandoverManager(self.port)
+        self.planner = MovePlanner(config, self.port)
+        self.durations = MoveDurations(self.port)
+        self.commands = OperatorCommands(self.port, self.planner, config.controllers)
         core.upgrade.require_level(records.SHARES_LEVEL)
         core.extensions.append(self)
 
     def tick(self) -> None:
-        """One round of the core."""
+        """Run the shares' part of one round of the core."""
         self.handover.tick()
         self.durations.tick()
         self.planner.tick()
-        self.commands.tidy()
+        self.commands.delete_expired_request()
 
     def handle_operator_command(self, path: str, body: bytes, ticket: int) -> bool:
-        """An operator's command."""
-        return self.commands.take(path, body, ticket)
+        """Carry out the command at an HTTP path; return False if there is none at this path."""
+        return self.commands.handle(path, body, ticket)
 
     # For operators
 
     def health_status(self) -> dict[str, Any]:
-        """What `coursefold shares` shows."""
-        wall = self.port.ctx.wall_time
-        window = self.planner.schedule.window_at(wall)
+        """Return the status that `coursefold shares` shows."""
+        wall_time = self.port.ctx.wall_time
+        window = self.planner.schedule.window_at(wall_time)
         requests = sorted(self.port.view.share_requests.items())
         return {
             "shares": {
                 "on": self.port.view.format_level >= records.SHARES_LEVEL,
-                "leads": self.port.leads(),
+                "leads": self.port.is_leading(),
                 "window": window.name if window else "",
                 "scopes": self._scopes(),
                 "moves": self._moves(),
                 "outcomes": dict(self.planner.outcomes),
-                "durations": self.durations.condition(),
+                "durations": self.durations.health_status(),
                 "requests": [
-                    shown(name, request) for name, request in requests if wall < request.expires_at
+                    describe_request(name, request)
+                    for name, request in requests
+                    if wall_time < request.expires_at
                 ],
             }
         }
 
     def _scopes(self) -> list[dict[str, Any]]:
-        """Machines by controller, and what they are to be."""
-        found = []
-        for (build, zone), status in self.planner.status.items():
-            names = sorted({*status.owned, *status.targets, *self.port.members()})
+        """Return for each scope the machines and the target of each controller."""
+        scopes = []
+        for (machine_type, zone), status in self.planner.scope_status.items():
+            names = sorted({*status.owned, *status.targets, *self.port.member_names()})
             rows = []
             for name in names:
                 target = status.targets.get(name)
@@ -71,17 +73,20 @@
                     {
                         "controller": name,
                         "owned": status.owned[name],
-                        "unshown": status.unshown[name],
-                        "target": target.machines if target else None,
-                        "why": target.why if target else "",
+                        "unshown": status.unreported[name],
+                        "target": target.machine_count if target else None,
+                        "why": target.reason if target else "",
                     }
                 )
-            found.append({"type": build, "zone": zone, "controllers": rows})
-        return found
+            scopes.append({"type": machine_type, "zone": zone, "controllers": rows})
+        return scopes
 
     def _moves(self) -> list[dict[str, Any]]:
-        """Moves under way, the oldest first; why not yet is known to the old owner alone."""
-        under_way = sorted(
+        """Return moves in progress, oldest first.
+
+        Only the old owner knows what a move waits for; elsewhere that text is empty.
+        """
+        moves = sorted(
             self.port.view.moves_in_progress.items(), key=lambda item: item[1].stage_started_at
         )
         return [
@@ -93,7 +98,7 @@
                 "mode": record.mode.name.lower(),
                 "for_s": round(max(0.0, self.port.ctx.wall_time - record.stage_started_at), 1),
                 "why": record.why,
-                "waits": self.handover.waiting.get(machine, ""),
+                "waits": self.handover.waiting_reasons.get(machine, ""),
             }
-            for machine, record in under_way[:MOVES_SHOWN]
+            for machine, record in moves[:MAX_LISTED_MOVES]
         ]
