--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""No fixed bound below 4,000 machines: each is passed here, and what happens there is seen."""
+"""Fixed bounds at a fleet of 4,000 machines: each is reached or exceeded here without loss."""
 
 from msgspec import structs
 
@@ -21,21 +21,26 @@
 from tests.test_policy import ENV
 from tests.world import World
 
-MACHINES = 4000
+MACHINE_COUNT = 4000
 IMAGES = {f"registry/team/image-with-a-long-name-{number}": 5.0 for number in range(12)}
 
 
-class Sibling:
-    """What `n1` makes of the frames of `n0`."""
+class FrameReceiver:
+    """Controller n1, which receives the frames of n0.
+
+    Attributes:
+        ctx: The context of n1.
+        frames: All frames received so far.
+    """
 
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
         self.frames: list[bytes] = []
 
-    def hears(self, teller: PeerFrameBuilder, reasons: dict[JobId, str]) -> int:
-        """Take frames until nothing waits; how many came."""
+    def receive_all(self, builder: PeerFrameBuilder, reasons: dict[JobId, str]) -> int:
+        """Receive frames until none is left, and return their number."""
         count = 0
-        while frame := teller.build_frame(set(), set(), reasons):
+        while frame := builder.build_frame(set(), set(), reasons):
             count += 1
             self.frames.append(frame)
             envelope = decode_frame(self.ctx, frame)
@@ -44,15 +49,16 @@
         return count
 
 
-def leading_world() -> World:
+def start_leader() -> World:
+    """Return a world whose controller n0 leads."""
     world = World()
     world.run(3.0)
     assert world.core.ctx.is_leading()
     return world
 
 
-def listener(world: World) -> Sibling:
-    """Another controller of the same settings, which knows `n0` as its sibling."""
+def start_receiver(world: World) -> FrameReceiver:
+    """Return a controller with the same settings that has n0 as its receiver."""
     other = World()
     other.run(world.now)
     ctx = other.core.ctx
@@ -60,11 +66,11 @@
     siblings = [structs.replace(own, member="n0"), ctx.settings.siblings[1]]
     settings = structs.replace(ctx.settings, member=own.member, siblings=siblings)
     ctx.settings = settings
-    return Sibling(ctx)
+    return FrameReceiver(ctx)
 
 
 def add_machines(ctx: Context, count: int) -> list[str]:
-    """Machines of our own part, each with a dozen images."""
+    """Add machines that the controller owns, each with a dozen cached images."""
     names = [f"i-{number:06d}" for number in range(3 * count)]
     names = [name for name in names if ctx.owns(name, "a")][:count]
     for name in names:
@@ -75,73 +81,75 @@
     return names
 
 
-def test_one_controllers_4000_machines_are_told_in_several_frames() -> None:
-    """A frame over the limit ended the connection, and the next began with the same rows."""
-    world = leading_world()
+def test_4000_machines_of_one_controller_are_sent_in_several_frames() -> None:
+    """A frame over the limit would end each connection anew, as all begin with the same rows."""
+    world = start_leader()
     ctx = world.core.ctx
-    names = add_machines(ctx, MACHINES)
-    teller = PeerFrameBuilder(ctx, MachineRows(ctx), "n1")
-    sibling = listener(world)
-    assert sibling.hears(teller, {}) > 2
-    assert max(map(len, sibling.frames)) < MAX_FRAME_BYTES
-    assert sum(map(len, sibling.frames)) > MAX_FRAME_BYTES
-    known = sibling.ctx.peers["n0"]
-    assert set(names) <= set(known.machines)
-    assert known.is_complete
+    names = add_machines(ctx, MACHINE_COUNT)
+    builder = PeerFrameBuilder(ctx, MachineRows(ctx), "n1")
+    receiver = start_receiver(world)
+    assert receiver.receive_all(builder, {}) > 2
+    assert max(map(len, receiver.frames)) < MAX_FRAME_BYTES
+    assert sum(map(len, receiver.frames)) > MAX_FRAME_BYTES
+    peer = receiver.ctx.peers["n0"]
+    assert set(names) <= set(peer.machines)
+    assert peer.is_complete
 
 
 def test_machines_whose_rows_are_still_to_come_are_not_missing() -> None:
-    """Else a leader that connects anew would return all that the first frame left out."""
-    world = leading_world()
+    """Otherwise a leader would return all machines that a connection's first frame leaves out."""
+    world = start_leader()
     ctx = world.core.ctx
-    names = add_machines(ctx, MACHINES)
-    teller = PeerFrameBuilder(ctx, MachineRows(ctx), "n1")
-    sibling = listener(world)
-    envelope = decode_frame(sibling.ctx, teller.build_frame(set(), set(), {}))
+    names = add_machines(ctx, MACHINE_COUNT)
+    builder = PeerFrameBuilder(ctx, MachineRows(ctx), "n1")
+    receiver = start_receiver(world)
+    envelope = decode_frame(receiver.ctx, builder.build_frame(set(), set(), {}))
     assert envelope is not None
-    apply_frame(sibling.ctx, envelope)
-    known = sibling.ctx.peers["n0"]
-    assert len(known.machines) < len(names)
-    assert not known.is_complete
+    apply_frame(receiver.ctx, envelope)
+    peer = receiver.ctx.peers["n0"]
+    assert len(peer.machines) < len(names)
+    assert not peer.is_complete
 
 
-def test_all_reasons_are_told() -> None:
-    world = leading_world()
-    teller = PeerFrameBuilder(world.core.ctx, MachineRows(world.core.ctx), "n1")
-    sibling = listener(world)
+def test_all_waiting_reasons_are_sent() -> None:
+    """A frame holds a limited number of reasons, so the others have to follow in later frames."""
+    world = start_leader()
+    builder = PeerFrameBuilder(world.core.ctx, MachineRows(world.core.ctx), "n1")
+    receiver = start_receiver(world)
     reasons = {
         JobId(f"job-{number}"): f"waits {number}" for number in range(4 * MAX_REASONS_PER_FRAME + 7)
     }
     for _ in range(6):
-        teller.summary_requested = True
-        sibling.hears(teller, reasons)
-    assert sibling.ctx.peers["n0"].waiting_reasons == reasons
-    teller.summary_requested = True
+        builder.summary_requested = True
+        receiver.receive_all(builder, reasons)
+    assert receiver.ctx.peers["n0"].waiting_reasons == reasons
+    builder.summary_requested = True
     few = dict.fromkeys(list(reasons)[:3], "other")
     for _ in range(6):
-        teller.summary_requested = True
-        sibling.hears(teller, few)
-    assert sibling.ctx.peers["n0"].waiting_reasons == few
+        builder.summary_requested = True
+        receiver.receive_all(builder, few)
+    assert receiver.ctx.peers["n0"].waiting_reasons == few
 
 
-def test_run_times_beyond_one_frame_are_kept_for_the_next() -> None:
-    world = leading_world()
+def test_run_times_beyond_one_frame_are_sent_in_later_frames() -> None:
+    """The number that is kept for a leader is bounded."""
+    world = start_leader()
     ctx = world.core.ctx
     assert ctx.roster is not None
     ctx.view.roster = structs.replace(ctx.roster, leader="n1")
     ctx.finished_runs.extend(("batch", float(number)) for number in range(900))
-    teller = PeerFrameBuilder(ctx, MachineRows(ctx), "n1")
-    sibling = listener(world)
+    builder = PeerFrameBuilder(ctx, MachineRows(ctx), "n1")
+    receiver = start_receiver(world)
     for _ in range(3):
-        teller.summary_requested = True
-        sibling.hears(teller, {})
-    assert len(sibling.ctx.finished_runs) == 900
+        builder.summary_requested = True
+        receiver.receive_all(builder, {})
+    assert len(receiver.ctx.finished_runs) == 900
     ctx.finished_runs.extend(("batch", 1.0) for _ in range(100_000))
     PeerFrameBuilder(ctx, MachineRows(ctx), "n2").build_frame(set(), set(), {})
     assert len(ctx.finished_runs) < 5000
 
 
-def test_a_policy_may_name_thousands_of_machines() -> None:
+def test_a_policy_may_request_thousands_of_machines() -> None:
     policy = parse_policy(
         "rule a: when c > 1 then at_least 4000\nrule b: when c > 1 then recruit 500"
     )
@@ -150,33 +158,35 @@
 
 
 def test_the_optimum_of_a_pool_of_32000_slots_lies_above_its_load() -> None:
-    """Once, the search ended at 20,000 slots, fewer than 4,000 machines of eight have."""
+    """Guards against a search bound (once 20,000 slots) below 4,000 machines of eight slots."""
     load = 30_000.0
     assert load < find_optimal_servers(load / 60.0, 1 / 60.0, 0.0007, 0.0005) < 1.1 * load
     assert (
         find_optimal_servers(load / 60.0, 1 / 60.0, 0.0, 0.0005) < 2 * load + 2000
-    )  # free slots: it ends
+    )  # slots without a price: the search ends
 
 
-def test_copies_of_machines_that_left_are_known_for_thousands() -> None:
-    world = leading_world()
+def test_last_sequences_of_thousands_of_departed_machines_are_kept() -> None:
+    """They identify late copies of reports, which must not bring a machine back."""
+    world = start_leader()
     owner = world.core.owner
-    names = add_machines(world.core.ctx, MACHINES)
+    names = add_machines(world.core.ctx, MACHINE_COUNT)
     for name in names:
         owner.remove_machine(name)
     assert set(names) <= set(owner.departed_sequences)
 
 
-def test_removals_are_remembered_for_thousands_of_jobs() -> None:
-    """One that was seen before an older write of the same key must win over it."""
+def test_removal_versions_of_thousands_of_jobs_are_kept() -> None:
+    """A removal must win over an older write of the same key that arrives after it."""
     view = View()
-    for number in range(2 * MACHINES):
+    for number in range(2 * MACHINE_COUNT):
         view.apply_removal(f"{records.JOB_PREFIX}job-{number}", 1000 + number)
-    old = view.apply_value(f"{records.JOB_PREFIX}job-0", [1, 1], 999)
-    assert not old
+    is_applied = view.apply_value(f"{records.JOB_PREFIX}job-0", [1, 1], 999)
+    assert not is_applied
 
 
-def test_as_many_cancellations_are_told_as_are_confirmed_in_some_seconds() -> None:
+def test_the_cancellations_per_frame_grow_with_the_write_rate() -> None:
+    """A frame must hold as many cancellations as are confirmed in some seconds."""
     ctx = World().core.ctx
     assert cancellations.max_cancellations_per_frame(ctx) == 1000
     params = ctx.settings.params
@@ -185,13 +195,13 @@
     assert cancellations.max_cancellations_per_frame(ctx) == 4000
 
 
-def test_4000_machines_are_rented_and_filled_on_cheap_ticks() -> None:
-    """Five controllers; the reports of each machine come every eight seconds."""
-    fleet = large_fleet(MACHINES)
+def test_4000_machines_are_rented_and_filled() -> None:
+    """Five controllers; each machine reports every eight seconds."""
+    fleet = large_fleet(MACHINE_COUNT)
     fleet.run(50.0)
-    up = [worker for worker in fleet.workers.values() if worker.counter]
-    assert len(up) >= 0.95 * MACHINES
-    assert len(fleet.on) >= 0.9 * MACHINES
+    reporting = [worker for worker in fleet.workers.values() if worker.counter]
+    assert len(reporting) >= 0.95 * MACHINE_COUNT
+    assert len(fleet.on) >= 0.9 * MACHINE_COUNT
     leader = next(node for node in fleet.nodes if node.enter().ctx.is_leading())
     assert leader.core.ctx.now > MonotonicTime(0.0)
-    assert len(leader.core.fleet.inventory.machines) >= 0.95 * MACHINES
+    assert len(leader.core.fleet.inventory.machines) >= 0.95 * MACHINE_COUNT
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""Properties of the record codec and the commit queue."""
+"""Properties of the record codec, the record edits and the commit queue."""
 
 from itertools import pairwise
 from typing import Any
@@ -36,7 +36,9 @@
 
 
 @given(st.lists(entries, max_size=5), st.sets(st.integers(0, 999), max_size=40), st.floats(0, 2e9))
-def test_a_record_survives_the_wire(held: list[TaskEntry], done: set[int], at: float) -> None:
+def test_a_record_is_equal_after_encoding_and_decoding(
+    held: list[TaskEntry], done: set[int], at: float
+) -> None:
     ranges: list[tuple[int, int]] = []
     for index in done:
         ranges = add_to_ranges(ranges, index)
@@ -48,7 +50,7 @@
 
 
 def test_a_gang_of_hundreds_fits_one_value() -> None:
-    """Its places are written at once or not at all, so they cannot be split over keys."""
+    """All places of a gang are written in one transaction, so they have to fit one value."""
     spec = decode(encode(JOB | {"NameId": "job-1", "Shape": "ensemble", "Pieces": 700}), Job)
     places = sorted((f"worker-{i % 5}", "gauteng-rack", f"i-{i:06d}", 1) for i in range(700))
     record = jobs.place_gang(places)(JobRecord(spec, 0.0))
@@ -74,18 +76,22 @@
 outcomes = st.lists(st.sampled_from(["ok", "lost", "mute", "refused", "other"]), max_size=40)
 
 
-def carry_out(
-    step: str, store: StateStore, queue: CommitQueue, batch: Batch, now: MonotonicTime
+def execute_batch(
+    outcome: str, store: StateStore, queue: CommitQueue, batch: Batch, now: MonotonicTime
 ) -> None:
-    """What becomes of a transaction, and what its sender learns of it."""
-    if step == "refused":
+    """Execute a transaction or not, and give the queue the outcome that its sender sees.
+
+    "refused": not executed, and reported so. "mute": not executed, without a response.
+    "lost": executed, but the response is lost. Otherwise: executed, with its response.
+    """
+    if outcome == "refused":
         queue.handle_refusal(batch, now, 0.1)
         return
-    if step == "mute":
+    if outcome == "mute":
         queue.handle_missing_response(batch, now, 0.1)
         return
     status, body = store.commit(float(now), batch.body)
-    if step == "lost":
+    if outcome == "lost":
         queue.handle_missing_response(batch, now, 0.1)
     elif status == 200:
         queue.handle_success(batch, body["Ledger"])
@@ -95,100 +101,105 @@
 
 @settings(max_examples=200)
 @given(outcomes, st.integers(1, 12))
-def test_the_queue_never_settles_what_is_not_written(plan: list[str], count: int) -> None:
-    """Whatever happens to transactions, an edit that is told True is in the store, once."""
+def test_the_queue_settles_an_edit_as_written_only_if_it_is(plan: list[str], count: int) -> None:
+    """Whatever happens to transactions, an edit settled with True is in the store exactly once."""
     store, view = StateStore(), View()
     queue = CommitQueue(view, txn_ops=4, value_kb=16, write_rps=1000)
-    told: dict[int, list[bool]] = {i: [] for i in range(count)}
+    settled: dict[int, list[bool]] = {i: [] for i in range(count)}
     key = records.job_key(JobId("job-1"))
     store.set(key, encode_record(JobRecord(SPEC, 0.0)))
     view.apply_value(key, store.keys[key][0], store.keys[key][1])
 
-    def take(index: int) -> Edit:
-        def done(ok: bool, why: str) -> None:
-            told[index].append(ok)
+    def assign_task(index: int) -> Edit:
+        def record_result(ok: bool, why: str) -> None:
+            settled[index].append(ok)
 
-        return Edit(key, jobs.assign([jobs.Assignment(index, "n0", "a", "i-1")]), on_settled=done)
+        return Edit(
+            key, jobs.assign([jobs.Assignment(index, "n0", "a", "i-1")]), on_settled=record_result
+        )
 
     for index in range(count):
-        assert queue.propose(take(index))
+        assert queue.propose(assign_task(index))
     now = MonotonicTime(1.0)
     steps = iter([*plan, *["ok"] * 60])
-    for step in steps:
+    for outcome in steps:
         now = MonotonicTime(now + 1.0)
         for stale in queue.stale_keys():
-            value, stamp, _ = store.keys[stale]
-            view.apply_value(stale, value, stamp)
+            value, version, _ = store.keys[stale]
+            view.apply_value(stale, value, version)
             queue.mark_refreshed(stale)
         batch = queue.next_batch(now)
         if batch is None:
             continue
-        if step == "other":  # somebody else writes first
+        if outcome == "other":  # another writer changes the key first
             value, _, _ = store.keys[key]
             store.set(key, value)
-        carry_out(step, store, queue, batch, now)
+        execute_batch(outcome, store, queue, batch, now)
     record: Any = decode_record(key, store.keys[key][0])
     held = [e.index for e in record.entries]
     assert sorted(held) == sorted(set(held))
-    for index, answers in told.items():
-        assert len(answers) == 1
-        if answers[0]:
+    for index, results in settled.items():
+        assert len(results) == 1
+        if results[0]:
             assert index in held
     if plan.count("other") <= MAX_CONFLICTS:
         assert set(held) == set(range(count))
 
 
-def test_missing_answers_do_not_count_as_conflicts() -> None:
-    """Found by the test above: eight outages and one conflict, and an edit was given up."""
-    check = test_the_queue_never_settles_what_is_not_written.hypothesis.inner_test  # type: ignore[attr-defined]
+def test_missing_responses_do_not_count_as_conflicts() -> None:
+    """Otherwise eight missing responses and one conflict would make the queue give up an edit."""
+    check = test_the_queue_settles_an_edit_as_written_only_if_it_is.hypothesis.inner_test  # type: ignore[attr-defined]
     check([*["mute"] * 8, "other"], 1)
     check([*["refused"] * 30, *["other"] * MAX_CONFLICTS], 3)
 
 
 def test_a_second_cancellation_waits_for_the_first_ones_commit() -> None:
-    """Seen: both in one transaction, the second was answered before anything was written."""
+    """In one transaction, the second would be confirmed before anything is written."""
     view = View()
     queue = CommitQueue(view, txn_ops=4, value_kb=16, write_rps=1000)
     key = records.job_key(JobId("job-1"))
     placed = JobRecord(SPEC, 0.0, entries=[TaskEntry(0, 1, 1, "n0", "a", "i-1", 1)])
     view.apply_value(key, encode_record(placed), 5)
-    said: list[tuple[bool, str]] = []
+    results: list[tuple[bool, str]] = []
     for _ in range(2):
-        queue.propose(Edit(key, jobs.cancel(), on_settled=lambda ok, why: said.append((ok, why))))
+        queue.propose(
+            Edit(key, jobs.cancel(), on_settled=lambda ok, why: results.append((ok, why)))
+        )
     batch = queue.next_batch(MonotonicTime(1.0))
     assert batch is not None
-    assert said == []
+    assert results == []
     queue.handle_success(batch, 6)
-    assert said == [(True, "")]
+    assert results == [(True, "")]
     assert queue.next_batch(MonotonicTime(2.0)) is None
-    assert said == [(True, ""), (False, "cancelled")]
+    assert results == [(True, ""), (False, "cancelled")]
 
 
 def test_an_edit_of_a_former_roster_is_dropped() -> None:
     view = View()
     queue = CommitQueue(view, txn_ops=4, value_kb=16, write_rps=1000)
     view.apply_value(records.ROSTER_KEY, ["n0", []], 7)
-    said: list[str] = []
+    results: list[str] = []
     queue.propose(
         Edit(
             "cf/p/x",
             lambda _: records.PoolRecord(),
             fencing_token=6,
-            on_settled=lambda _, why: said.append(why),
+            on_settled=lambda _, why: results.append(why),
         )
     )
     assert queue.next_batch(MonotonicTime(1.0)) is None
-    assert said == ["fenced"]
+    assert results == ["fenced"]
 
 
-def test_void_edits_say_why() -> None:
+def test_an_edit_that_does_not_apply_states_the_reason() -> None:
     done = JobRecord(SPEC, 0.0, done_ranges=[(0, 3)])
-    place_again = jobs.place("n0", [jobs.TaskRef(2, 0, "a", "i-1", 1)])
+    place_done_task = jobs.place("n0", [jobs.TaskRef(2, 0, "a", "i-1", 1)])
     with pytest.raises(NotApplicableError, match=r"^nothing of it is ours to place$"):
-        place_again(done)
+        place_done_task(done)
 
 
-def test_a_gang_starts_anew_only_when_its_old_places_are_gone() -> None:
+def test_a_gang_is_placed_again_only_when_its_former_places_are_gone() -> None:
+    """Tasks of two attempts must never run at the same time."""
     spec = decode(encode(JOB | {"NameId": "job-1", "Shape": "ensemble", "Pieces": 2}), Job)
     places = [("n0", "a", "i-1", 1), ("n0", "a", "i-2", 1)]
     first = jobs.place_gang(places)(JobRecord(spec, 0.0))
@@ -203,9 +214,12 @@
     assert [e.attempt for e in again.entries] == [2, 2]
 
 
-def test_a_backlog_of_other_changes_does_not_turn_submissions_away() -> None:
-    """Acceptances are written before it. Seen at a rate of 15 changes: every fifth
-    submission, those at the leader, was put off by 3 s while places waited."""
+def test_a_backlog_of_other_changes_does_not_refuse_submissions() -> None:
+    """Acceptances are written before other changes.
+
+    Otherwise, at a rate of 15 changes a second, every fifth submission (those at the leader)
+    is put off by 3 s while placements wait.
+    """
     world = World()
     rate = world.core.queue.limits.write_rps
     world.state = "down"
@@ -217,8 +231,8 @@
     assert answer is not None
     assert answer.status == 201
     for number in range(round(rate) + 2):
-        change = jobs.accept(SPEC, 0.0)
-        world.core.queue.propose(Edit(f"cf/j/job-9{number}", change, priority=HIGH_PRIORITY))
+        acceptance = jobs.accept(SPEC, 0.0)
+        world.core.queue.propose(Edit(f"cf/j/job-9{number}", acceptance, priority=HIGH_PRIORITY))
     world.core.submit(encode(JOB | {"NameId": "job-2"}), 999)
     world.settle()
     assert world.answers[999].status == 503
