--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Hostile and oversized input changes nothing and ends nothing."""
+"""Malformed, hostile and oversized input is refused without any effect on the controller."""
 
 import math
 from typing import Any
@@ -8,7 +8,7 @@
 from coursefold.protocol.wire import encode
 from tests.world import JOB, World
 
-GOOD = JOB | {"NameId": "job-1"}
+VALID_JOB = JOB | {"NameId": "job-1"}
 
 
 @pytest.mark.parametrize(
@@ -29,9 +29,11 @@
         ({"DueS": "soon"}, "DueS"),
     ],
 )
-def test_a_bad_field_is_a_400_that_names_it(change: dict[str, Any], field: str) -> None:
+def test_an_invalid_field_is_answered_with_400_and_its_name(
+    change: dict[str, Any], field: str
+) -> None:
     world = World()
-    answer = world.ask(lambda t: world.core.submit(encode(GOOD | change), t))
+    answer = world.ask(lambda t: world.core.submit(encode(VALID_JOB | change), t))
     assert answer is not None
     assert answer.status == 400
     assert field in answer.body["error"]
@@ -40,7 +42,7 @@
 @pytest.mark.parametrize(
     "body", [b"", b"\xff" * 100, encode([1, 2]), encode({}), b"\x81", encode("x") * 3]
 )
-def test_what_is_no_job_is_a_400(body: bytes) -> None:
+def test_a_malformed_body_is_answered_with_400(body: bytes) -> None:
     world = World()
     for handler in (world.core.submit, world.core.handle_report):
         answer = world.ask(lambda t, h=handler: h(body, t))
@@ -48,20 +50,21 @@
         assert answer.status == 400
 
 
-def test_missing_fields_and_unknown_ones() -> None:
+def test_missing_required_fields_are_refused_and_unknown_fields_accepted() -> None:
     world = World()
-    for name in GOOD:
-        short = {key: value for key, value in GOOD.items() if key != name}
-        answer = world.ask(lambda t, s=short: world.core.submit(encode(s), t))
+    for name in VALID_JOB:
+        incomplete = {key: value for key, value in VALID_JOB.items() if key != name}
+        answer = world.ask(lambda t, s=incomplete: world.core.submit(encode(s), t))
         assert answer is not None
-        wanted = 201 if name in ("Builds", "Site", "DueS") else 400
-        assert answer.status in (wanted, 200)
-    answer = world.ask(lambda t: world.core.submit(encode(GOOD | {"Colour": "red"}), t))
+        expected_status = 201 if name in ("Builds", "Site", "DueS") else 400
+        assert answer.status in (expected_status, 200)
+    answer = world.ask(lambda t: world.core.submit(encode(VALID_JOB | {"Colour": "red"}), t))
     assert answer is not None
     assert answer.status in (200, 201)
 
 
-def test_frames_of_strangers_and_other_versions_change_nothing() -> None:
+def test_frames_of_unknown_senders_and_other_versions_change_nothing() -> None:
+    """The same holds for malformed frames, and for those that are delivered too late."""
     world = World()
     for frame in (
         b"\xff" * 40,
@@ -73,13 +76,13 @@
         assert world.core.ctx.peers == {}
     stale = world.peer_frame("n1")
     world.run(10.0)
-    world.peer(stale)  # held back by a cut
+    world.peer(stale)  # delayed by a network partition
     assert world.core.ctx.peers == {}
     world.peer(world.peer_frame("n1"))
     assert set(world.core.ctx.peers) == {"n1"}
 
 
-def test_a_hundred_thousand_tasks_stay_small() -> None:
+def test_the_record_of_a_job_of_100000_tasks_stays_small() -> None:
     world = World()
     for number in range(40):
         world.report(f"i-{number}", [])
@@ -88,40 +91,41 @@
     assert answer.status == 201
     world.run(6.0)
     (job,) = world.core.view.jobs.values()
-    most = world.core.leader.max_entries()
-    assert 0 < len(job.entries) <= most < 1000
+    max_entries = world.core.leader.max_entries()
+    assert 0 < len(job.entries) <= max_entries < 1000
 
 
 @pytest.mark.parametrize(
     "told",
     [
-        {"job-1": 10**9},  # a revision that cannot be
-        {"job-1": 0},  # one before those that it says follow
+        {"job-1": 10**9},  # a revision far in the future
+        {"job-1": 0},  # a revision that the frame states as already included
         {"no job": 1},
         {f"job-{n}": 1 for n in range(2000)},
     ],
 )
-def test_cancellations_that_make_no_sense_are_dropped(told: dict[str, int]) -> None:
-    """They stop nothing, stay in no memory, and vouch for nothing."""
+def test_invalid_cancellations_of_a_peer_are_dropped(told: dict[str, int]) -> None:
+    """They stop no task, are not kept, and do not extend what the peer has confirmed to know."""
     world = World()
     world.join("n1", "b")
     world.run(2.0)
-    permit = world.core.view.members["n1"].lease_id
+    lease_id = world.core.view.members["n1"].lease_id
     world.submit("job-1")
     world.report("i-1", [])
     world.run(3.0)
-    world.peer(world.peer_frame("n1", permit=permit, told={}))
-    known = world.core.ctx.peers["n1"].cancellations_known_until
-    assert known > 0
+    world.peer(world.peer_frame("n1", permit=lease_id, told={}))
+    known_until = world.core.ctx.peers["n1"].cancellations_known_until
+    assert known_until > 0
     world.run(4.0)
-    world.peer(world.peer_frame("n1", permit=permit, told=told))
+    world.peer(world.peer_frame("n1", permit=lease_id, told=told))
     ctx = world.core.ctx
     assert ctx.peer_cancellations == {}
-    assert ctx.peers["n1"].cancellations_known_until == known
+    assert ctx.peers["n1"].cancellations_known_until == known_until
     assert world.direct == []
 
 
-def test_a_cancellation_of_an_unknown_job_is_forgotten_in_time() -> None:
+def test_a_cancellation_of_an_unknown_job_is_dropped_after_later_writes() -> None:
+    """Once the view has passed the cancellation's revision, the record itself decides."""
     world = World()
     world.peer(world.peer_frame("n1", told={"job-7": 3}))
     assert set(world.core.ctx.peer_cancellations) == {"job-7"}
