--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -238,8 +238,8 @@
     world.submit("job-1", Site="b")
     key = records.job_key(JobId("job-1"))
     live = world.core.view.jobs[JobId("job-1")]
-    held = msgspec.structs.replace(live, attempt=1, entries=[place])
-    world.store.set(key, codec.encode_record(held))
+    placed = msgspec.structs.replace(live, attempt=1, entries=[place])
+    world.store.set(key, codec.encode_record(placed))
     started_at, sequence = world.now, 3
     while world.now < started_at + 30.0:
         for name in names[silent:]:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -304,14 +304,14 @@
     assert fleet.used["blue"] == 40.0  # at the limit, and more jobs wait
     for worker in {w for w, _ in fleet.on.values()}:
         setattr(worker, how, fleet.now + 22.0)
-    held = dict(fleet.on)
-    for name in sorted({t.job.name for _, t in held.values()})[:4]:
+    running_before = dict(fleet.on)
+    for name in sorted({t.job.name for _, t in running_before.values()})[:4]:
         fleet.after(fleet.rng.uniform(0.0, 0.2), partial(cancel_when_accepted, fleet, name))
     fleet.run(fleet.now + 0.3)
     former = stop_leader(fleet)
     fleet.run(fleet.now + 2.7)
     check_leader_changed(fleet, former)
-    cancelled = [t for _, t in held.values() if t.job.told == "cancelled"]
+    cancelled = [t for _, t in running_before.values() if t.job.told == "cancelled"]
     # Confirmed while the machines did not answer and the leader changed.
     assert len(cancelled) >= 18
     fleet.run(fleet.now + 87.0)  # every start is checked against the limit
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -37,13 +37,13 @@
 
 @given(st.lists(entries, max_size=5), st.sets(st.integers(0, 999), max_size=40), st.floats(0, 2e9))
 def test_a_record_is_equal_after_encoding_and_decoding(
-    held: list[TaskEntry], done: set[int], at: float
+    task_entries: list[TaskEntry], done: set[int], at: float
 ) -> None:
     ranges: list[tuple[int, int]] = []
     for index in done:
         ranges = add_to_ranges(ranges, index)
     record = JobRecord(
-        SPEC, at, entries=held, done_ranges=ranges, failure_count=3, failed_on=["i-1"]
+        SPEC, at, entries=task_entries, done_ranges=ranges, failure_count=3, failed_on=["i-1"]
     )
     plain = msgspec.msgpack.decode(encode(encode_record(record)))
     assert decode_record(records.job_key(JobId("job-1")), plain) == record
@@ -65,12 +65,12 @@
     ranges: list[tuple[int, int]] = []
     for index in indices:
         ranges = add_to_ranges(ranges, index)
-    held = [i for low, high in ranges for i in range(low, high + 1)]
-    assert held == sorted(set(indices))
+    done_indices = [i for low, high in ranges for i in range(low, high + 1)]
+    assert done_indices == sorted(set(indices))
     assert all(a[1] + 1 < b[0] for a, b in pairwise(ranges))
     job = JobRecord(SPEC, 0.0, done_ranges=ranges)
     waiting = job.waiting_indices(1000)
-    assert sorted([*waiting, *held]) == list(range(1000))
+    assert sorted([*waiting, *done_indices]) == list(range(1000))
 
 
 outcomes = st.lists(st.sampled_from(["ok", "lost", "mute", "refused", "other"]), max_size=40)
@@ -136,14 +136,14 @@
             store.set(key, value)
         execute_batch(outcome, store, queue, batch, now)
     record: Any = decode_record(key, store.keys[key][0])
-    held = [e.index for e in record.entries]
-    assert sorted(held) == sorted(set(held))
+    assigned_indices = [e.index for e in record.entries]
+    assert sorted(assigned_indices) == sorted(set(assigned_indices))
     for index, results in settled.items():
         assert len(results) == 1
         if results[0]:
-            assert index in held
+            assert index in assigned_indices
     if plan.count("other") <= MAX_CONFLICTS:
-        assert set(held) == set(range(count))
+        assert set(assigned_indices) == set(range(count))
 
 
 def test_missing_responses_do_not_count_as_conflicts() -> None:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -190,12 +190,12 @@
         fields = parse_fields(words[1:])
         known = self.world.core.view.members.get(words[0])
         lease_id = known.lease_id if known and fields.get("lease") == "same" else 0
-        told = {"none": None, "nothing": {}}.get(
+        cancellations = {"none": None, "nothing": {}}.get(
             fields.get("told", "none"), {fields.get("told", ""): 1}
         )
         extra = {key: fields[key] for key in ("lacks", "newer") if key in fields}
         frame = self.world.peer_frame(
-            words[0], float(fields["age"]), permit=lease_id, told=told, **extra
+            words[0], float(fields["age"]), permit=lease_id, told=cancellations, **extra
         )
         self.world.peer(frame)
         return ""
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -70,10 +70,10 @@
     for key, value in kept["records"].items():
         record = codec.decode_record(key, value)
         assert record is not None
-        ours = codec.encode_record(record, 0)
+        encoded = codec.encode_record(record, 0)
         # This version leaves out trailing fields that have production's default values.
-        assert value[: len(ours)] == ours if isinstance(value, list) else value == ours
-        assert not isinstance(value, list) or not any(value[len(ours) :])
+        assert value[: len(encoded)] == encoded if isinstance(value, list) else value == encoded
+        assert not isinstance(value, list) or not any(value[len(encoded) :])
     world = World()
     proposal_count = 0
     for at, (sender, _, text) in enumerate(kept["frames"], 1):
@@ -96,10 +96,10 @@
     (leader,) = [n for n in fleet.nodes if n.core.ctx.is_leading()]
     sibling = next(n.name for n in fleet.nodes if n is not leader)
     before = fleet.store.ledger
-    strange = peer_pb2.Proposal(
+    unknown_proposal = peer_pb2.Proposal(
         id=7, token=leader.core.view.fencing_token, job="job-1", kind="orphan"
     )
-    leader.core.forwarding.receive_proposals(sibling, [strange])
+    leader.core.forwarding.receive_proposals(sibling, [unknown_proposal])
     assert [(o.id, o.ok) for o in leader.core.frame_builders[sibling].outcomes][-1] == (7, False)
     assert fleet.store.ledger == before
 
@@ -253,7 +253,7 @@
     roll_interval_s: float,
     meanwhile: Callable[[Fleet], None] | None = None,
 ) -> Fleet:
-    """Run a day with troubles on which `old` is replaced and limits fall at `limits_at`.
+    """Run a day with random failures on which `old` is replaced and limits fall at `limits_at`.
 
     `meanwhile` is called one second before the limits fall.
     """
@@ -477,8 +477,10 @@
     lowered.store.txn_ops, lowered.store.value_bytes = 5, 2048
     settled: list[tuple[bool, str]] = []
     for number in range(2):
-        gone = edits.mark_gone(number, big.entries[number].machine, 1)
-        lowered.queue.propose(Edit(key, gone, on_settled=lambda ok, why: settled.append((ok, why))))
+        mark_gone = edits.mark_gone(number, big.entries[number].machine, 1)
+        lowered.queue.propose(
+            Edit(key, mark_gone, on_settled=lambda ok, why: settled.append((ok, why)))
+        )
     assert lowered.run(9) == 1
     assert settled == []
     assert lowered.load_view().jobs == {"job-1": big}
