--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -292,6 +292,7 @@
 
 
 def test_age_counts_from_eligibility_and_the_deadline_from_acceptance() -> None:
+    """Time spent waiting for prerequisites must not age a job, also after a restart."""
     world = create_upgraded_world()
     submit_accepted(world, "job-1")
     submit_accepted(world, "job-2", "job-1", DueS=900.0)
@@ -363,6 +364,7 @@
 
 
 def test_job_with_a_cancelled_prerequisite_is_accepted_and_cancelled() -> None:
+    """The prerequisite is cancelled through its own one, before its ending is written."""
     world = create_upgraded_world()
     submit_accepted(world, "job-1")
     submit_accepted(world, "job-2", "job-1")
