--- a/tests/cell_processes.py
+++ b/tests/cell_processes.py
@@ -15,7 +15,7 @@
 from coursefold.transport.http_client import HttpClient, NoResponseError
 from tests.standins.servers import Cloud, cloud_app, state_app
 from tests.standins.state import StateStore
-from tests.test_loopback import free_ports
+from tests.test_loopback import find_free_ports
 from tests.world import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -47,7 +47,7 @@
     def __init__(self, name: str, folder: Path, controllers: int = CONTROLLERS) -> None:
         self.name, self.folder, self.size = name, folder, controllers
         # Users, siblings and other cells for each controller, then state service and cloud.
-        ports = free_ports(3 * controllers + 2)
+        ports = find_free_ports(3 * controllers + 2)
         self.users = [f"127.0.0.1:{port}" for port in ports[:controllers]]
         self.siblings = [f"127.0.0.1:{port}" for port in ports[controllers : 2 * controllers]]
         host = f"127.0.{NAMES.index(name) + 1}.1"
--- a/tests/test_cells_input.py
+++ b/tests/test_cells_input.py
@@ -43,8 +43,8 @@
 from coursefold.storage.view import View
 from coursefold.transport.cells import CellTransport
 from tests.cells_world import cells_file
-from tests.test_loopback import free_ports
-from tests.test_settings import GOOD
+from tests.test_loopback import find_free_ports
+from tests.test_settings import VALID_SETTINGS
 from tests.world import CATALOG, EPOCH, JOB, SETTINGS, World
 
 KIND = decode(encode(CATALOG), Catalog).machine_types[0]
@@ -83,7 +83,7 @@
 
 def settings_file(tmp_path: Path) -> Path:
     file = tmp_path / "settings.toml"
-    file.write_text(GOOD)
+    file.write_text(VALID_SETTINGS)
     return file
 
 
@@ -304,7 +304,7 @@
             return True
 
         here = config()
-        here.listen = f"127.0.2.1:{free_ports(1)[0]}"
+        here.listen = f"127.0.2.1:{find_free_ports(1)[0]}"
         transport = CellTransport(here, Cells(here, World().core), take)
         whole = struct.pack(">I", 3) + b"abc"
         try:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -11,14 +11,14 @@
 from coursefold.settings import Settings
 from coursefold.transport.http_client import HttpClient
 from coursefold.transport.server import CONNECTION_IDLE_S, Server
-from tests.test_loopback import free_ports
+from tests.test_loopback import find_free_ports
 from tests.world import SETTINGS
 
 MOST = 12
 
 
 async def flood() -> None:
-    (port,) = free_ports(1)
+    (port,) = find_free_ports(1)
     address = f"127.0.0.1:{port}"
     server = Server(address, lambda ticket, *_: server.respond(ticket, 200, {}), MOST)
     worker = HttpClient(address, 1)
@@ -43,7 +43,7 @@
 
 
 async def sweep() -> None:
-    (port,) = free_ports(1)
+    (port,) = find_free_ports(1)
     server = Server(f"127.0.0.1:{port}", lambda ticket, *_: server.respond(ticket, 200, {}), MOST)
     slow = await asyncio.open_connection("127.0.0.1", port)
     slow[1].write(b"POST /agent/beat HTTP/1.1\r\nContent-Length: 9\r\n")
@@ -86,7 +86,7 @@
             pass
 
     async def send() -> None:
-        ports = dict(zip(("listen", "peer_listen"), free_ports(2), strict=True))
+        ports = dict(zip(("listen", "peer_listen"), find_free_ports(2), strict=True))
         listen = {key: f"127.0.0.1:{port}" for key, port in ports.items()}
         controller = service.Service(msgspec.convert(SETTINGS | listen, Settings))
         monkeypatch.setattr(service, "HttpClient", Silent)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,7 +1,7 @@
 """Troubles together, at hundreds of machines: fixed seeds, every rule checked at every step.
 
 Each seed draws its own day: jobs of all shapes, and every kind of trouble at
-random times until `CALM`. Afterwards nothing may be lost: each job that was
+random times until `FAULTS_END_AT_S`. Afterwards nothing may be lost: each job that was
 accepted and not cancelled runs or is over, and was answered about lately.
 """
 
@@ -11,21 +11,21 @@
 
 from tests.fleet import NODES, ZONES, Fleet, RuleBrokenError
 
-CALM = 70.0
-END = 260.0  # what waits for room is gathered for after 180 s
-MACHINES = 240
+FAULTS_END_AT_S = 70.0
+RUN_END_AT_S = 260.0  # what waits for room is gathered for after 180 s
+MACHINE_COUNT = 240
 TEAMS = [
     {"name": "red", "gpus": 60.0, "gpus_max": 160.0},
     {"name": "blue", "gpus": 60.0, "gpus_max": 200.0},
 ]
 
 
-def jobs(fleet: Fleet, count: int = 80) -> None:
+def submit_jobs(fleet: Fleet, count: int = 80) -> None:
     """Gangs up to 24 whole machines, arrays, services."""
     rng = fleet.rng
     for number in range(count):
         name = f"job-{number}"
-        at = 0.0 if number < 0.3 * count else rng.uniform(0.0, CALM)
+        at = 0.0 if number < 0.3 * count else rng.uniform(0.0, FAULTS_END_AT_S)
         cancel = rng.uniform(5.0, 60.0) if rng.random() < 0.15 else None
         team = rng.choice(["red", "blue"])
         image = f"img-{rng.randrange(6)}"
@@ -45,7 +45,7 @@
         fleet.after(at, lambda n=name, f=fields, r=run_s, c=cancel: fleet.submit(n, r, c, **f))  # type: ignore[misc]
 
 
-def crash(fleet: Fleet) -> None:
+def crash_controllers(fleet: Fleet) -> None:
     """One, several or all controllers end; each is back in a moment or after seconds."""
     count = fleet.rng.choice([1, 1, 2, NODES])
     for node in fleet.rng.sample(fleet.nodes, count):
@@ -54,35 +54,35 @@
             fleet.after(fleet.rng.choice([0.1, 0.3, 4.0]), node.start)
 
 
-def outage(fleet: Fleet) -> None:
+def fail_state_service(fleet: Fleet) -> None:
     fleet.outage_until = fleet.now + fleet.rng.uniform(3.0, 14.0)
 
 
-def refused(fleet: Fleet) -> None:
+def refuse_state_service(fleet: Fleet) -> None:
     fleet.rng.choice(fleet.nodes).refused_until = fleet.now + fleet.rng.uniform(3.0, 20.0)
 
 
-def only_workers(fleet: Fleet) -> None:
+def disconnect_controller_except_workers(fleet: Fleet) -> None:
     """A controller loses state service, cloud and siblings, but not its workers."""
     fleet.rng.choice(fleet.nodes).cut_until = fleet.now + fleet.rng.uniform(5.0, 30.0)
 
 
-def peers(fleet: Fleet) -> None:
+def refuse_peer_connections(fleet: Fleet) -> None:
     fleet.peers_refused_until = fleet.now + fleet.rng.uniform(3.0, 15.0)
 
 
-def deaf(fleet: Fleet) -> None:
+def lose_worker_responses(fleet: Fleet) -> None:
     """Machines whose reports arrive, but which get no answers and no commands."""
     for worker in fleet.rng.sample(list(fleet.workers.values()), min(6, len(fleet.workers))):
         worker.deaf_until = fleet.now + fleet.rng.uniform(5.0, 60.0)
 
 
-def cut(fleet: Fleet) -> None:
+def cut_off_workers(fleet: Fleet) -> None:
     for worker in fleet.rng.sample(list(fleet.workers.values()), min(20, len(fleet.workers))):
         worker.cut_until = fleet.now + fleet.rng.uniform(2.0, 25.0)
 
 
-def taken(fleet: Fleet, count: int = 15) -> None:
+def preempt_machines(fleet: Fleet, count: int = 15) -> None:
     """A wave of machines goes without notice."""
     for worker in fleet.rng.sample(list(fleet.workers.values()), min(count, len(fleet.workers))):
         if not worker.gone:
@@ -90,16 +90,18 @@
             fleet.capacity[(worker.zone, worker.spot)] += 1
 
 
-def cloud(fleet: Fleet) -> None:
+def fail_cloud(fleet: Fleet) -> None:
     fleet.cloud_down_until = fleet.now + fleet.rng.uniform(3.0, 15.0)
 
 
-TROUBLES: list[Callable[[Fleet], None]] = [
-    crash, crash, outage, refused, only_workers, peers, deaf, cut, taken, cloud,
+FAULTS: list[Callable[[Fleet], None]] = [
+    crash_controllers, crash_controllers, fail_state_service, refuse_state_service,
+    disconnect_controller_except_workers, refuse_peer_connections, lose_worker_responses,
+    cut_off_workers, preempt_machines, fail_cloud,
 ]  # fmt: skip
 
 
-def zone_cut(fleet: Fleet) -> None:
+def cut_off_zone(fleet: Fleet) -> None:
     """A zone loses everything outside it; what its machines say meanwhile comes at once, late."""
     fleet.cut_zone, fleet.zone_until = ZONES[1], fleet.now + fleet.rng.uniform(15.0, 30.0)
     for node in fleet.nodes:
@@ -107,32 +109,32 @@
             node.cut_until = fleet.zone_until
 
 
-def frozen(fleet: Fleet) -> None:
+def freeze_controller(fleet: Fleet) -> None:
     """A controller stands still while its clocks run on."""
     node = fleet.rng.choice(fleet.nodes)
     node.frozen_until = fleet.now + fleet.rng.uniform(3.0, 20.0)
 
 
-def hang(fleet: Fleet) -> None:
+def hang_workers(fleet: Fleet) -> None:
     """Many machines hang, for less or more than a lease, and go on."""
     for worker in fleet.rng.sample(list(fleet.workers.values()), min(60, len(fleet.workers))):
         worker.hung_until = fleet.now + fleet.rng.uniform(2.0, 22.0)
 
 
-def many(fleet: Fleet) -> None:
-    taken(fleet, 60)
+def preempt_many_machines(fleet: Fleet) -> None:
+    preempt_machines(fleet, 60)
 
 
-def all_down(fleet: Fleet) -> None:
+def fail_state_service_and_controllers(fleet: Fleet) -> None:
     """The state service fails, and then all controllers end; some are back in a moment."""
-    outage(fleet)
+    fail_state_service(fleet)
     for node in fleet.nodes:
         if node.up:
             node.stop()
             fleet.after(fleet.rng.choice([0.1, 4.0]), node.start)
 
 
-def calm(fleet: Fleet) -> None:
+def end_faults(fleet: Fleet) -> None:
     fleet.lost_commits = fleet.copied = 0.0
     fleet.outage_until = fleet.cloud_down_until = fleet.peers_refused_until = 0.0
     fleet.zone_until = 0.0
@@ -145,10 +147,13 @@
         worker.hung_until = min(worker.hung_until, fleet.now)
 
 
-LARGE: list[tuple[float, Callable[[Fleet], None]]] = [
-    (18.0, frozen), (20.0, many), (22.0, hang), (26.0, zone_cut), (30.0, crash), (33.0, deaf),
-    (40.0, peers), (44.0, many), (46.0, only_workers), (48.0, frozen), (50.0, hang),
-    (52.0, all_down), (56.5, crash), (60.0, many),
+LARGE_FLEET_FAULTS: list[tuple[float, Callable[[Fleet], None]]] = [
+    (18.0, freeze_controller), (20.0, preempt_many_machines), (22.0, hang_workers),
+    (26.0, cut_off_zone), (30.0, crash_controllers), (33.0, lose_worker_responses),
+    (40.0, refuse_peer_connections), (44.0, preempt_many_machines),
+    (46.0, disconnect_controller_except_workers), (48.0, freeze_controller), (50.0, hang_workers),
+    (52.0, fail_state_service_and_controllers), (56.5, crash_controllers),
+    (60.0, preempt_many_machines),
 ]  # fmt: skip
 
 
@@ -159,37 +164,37 @@
 
 def test_a_far_larger_fleet() -> None:
     """Nine hundred machines, and many of them falling together."""
-    fleet = play(9, machines=900, count=220, end=170.0, fixed=LARGE)
+    fleet = play(9, machines=900, count=220, end=170.0, fixed=LARGE_FLEET_FAULTS)
     assert len(fleet.workers) > 700
 
 
 def play(
     seed: int,
-    machines: int = MACHINES,
+    machines: int = MACHINE_COUNT,
     count: int = 80,
-    end: float = END,
+    end: float = RUN_END_AT_S,
     fixed: list[tuple[float, Callable[[Fleet], None]]] | None = None,
 ) -> Fleet:
-    scale = machines / MACHINES
+    scale = machines / MACHINE_COUNT
     teams = [t | {k: float(t[k]) * scale for k in ("gpus", "gpus_max")} for t in TEAMS]  # type: ignore[arg-type]
     fleet = Fleet(seed, capacity=machines, teams=teams)
     fleet.lost_commits, fleet.copied = 0.02, 0.05
-    jobs(fleet, count)
+    submit_jobs(fleet, count)
     troubles = fixed or [
-        (fleet.rng.uniform(10.0, CALM - 2.0), fleet.rng.choice(TROUBLES))
+        (fleet.rng.uniform(10.0, FAULTS_END_AT_S - 2.0), fleet.rng.choice(FAULTS))
         for _ in range(fleet.rng.randrange(6, 14))
     ]
     for at, trouble in troubles:
         fleet.after(at, lambda t=trouble: t(fleet))  # type: ignore[misc]
-    fleet.after(CALM, lambda: calm(fleet))
+    fleet.after(FAULTS_END_AT_S, lambda: end_faults(fleet))
     fleet.run(end)
-    nothing_lost(fleet)
+    check_no_job_lost(fleet)
     assert len(fleet.workers) > 100
     assert {w.zone for w in fleet.workers.values()} == set(ZONES)
     return fleet
 
 
-def nothing_lost(fleet: Fleet) -> None:
+def check_no_job_lost(fleet: Fleet) -> None:
     """Each job runs or is over, and its user was answered lately."""
     for job in fleet.jobs.values():
         if job.over():
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -18,7 +18,7 @@
 from coursefold.storage.view import View
 from coursefold.transport.peers import MAX_FRAME_BYTES
 from tests.measure_size import large_fleet
-from tests.test_policy import ENV
+from tests.test_policy import ENVIRONMENT
 from tests.world import World
 
 MACHINES = 4000
@@ -145,8 +145,8 @@
     policy = parse_policy(
         "rule a: when c > 1 then at_least 4000\nrule b: when c > 1 then recruit 500"
     )
-    assert policy.evaluate_rules(ENV).at_least == 4000
-    assert policy.evaluate_rules(ENV).recruit == 500
+    assert policy.evaluate_rules(ENVIRONMENT).at_least == 4000
+    assert policy.evaluate_rules(ENVIRONMENT).recruit == 500
 
 
 def test_the_optimum_of_a_pool_of_32000_slots_lies_above_its_load() -> None:
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -22,7 +22,7 @@
 LIMIT_S = 60.0
 
 
-def free_ports(count: int) -> list[int]:
+def find_free_ports(count: int) -> list[int]:
     """Ports that are free now; all are held until every one is known."""
     held = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [s.getsockname()[1] for s in held]
@@ -75,7 +75,7 @@
 
 
 async def play() -> None:
-    ports = free_ports(8)
+    ports = find_free_ports(8)
     nodes = {f"n{i}": f"127.0.0.1:{ports[i]}" for i in range(3)}
     store = StateStore()
     cloud = Cloud(nodes, boot=0.2, run=1.0, store=store)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -5,7 +5,7 @@
 from coursefold.policy.language import VARIABLE_TYPES, PolicyError, parse_policy
 from coursefold.policy.model import DEFAULT_PARAMETERS, Environment
 
-ENV: Environment = {
+ENVIRONMENT: Environment = {
     "lambda": 0.1, "mu": 0.01, "c": 10.0, "cstar": 16.0, "busy": 9.0, "queue": 4.0,
     "machines": 5.0, "price": 2.5, "losses": 0.0, "idle": 90.0, "spot": False,
     "pool": "g2/ordinary",
@@ -25,13 +25,13 @@
         """
     )
     assert policy.parameters == DEFAULT_PARAMETERS._replace(eta=0.001, idle=60.0)
-    got = policy.evaluate_rules(ENV)
+    got = policy.evaluate_rules(ENVIRONMENT)
     assert (got.recruit, got.at_least, got.at_most) == (1, 2, 9)
     assert got.active_rules == ("grow", "floor", "cap")
 
 
 def test_every_name_of_the_language_is_given_a_value() -> None:
-    assert set(ENV) == set(VARIABLE_TYPES)
+    assert set(ENVIRONMENT) == set(VARIABLE_TYPES)
 
 
 @pytest.mark.parametrize(
@@ -62,4 +62,4 @@
 
 def test_a_division_by_nothing_is_no_fault() -> None:
     policy = parse_policy("rule a: when queue / losses > 5 then recruit 2")
-    assert policy.evaluate_rules(ENV).recruit == 2
+    assert policy.evaluate_rules(ENVIRONMENT).recruit == 2
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,7 +8,7 @@
 from coursefold.cli import main
 from coursefold.settings import SettingsError, load
 
-GOOD = """
+VALID_SETTINGS = """
 member = "n0"
 zone = "a"
 listen = "127.0.0.1:8080"
@@ -48,14 +48,14 @@
 
 def test_good_settings_are_taken(tmp_path: Path) -> None:
     file = tmp_path / "good.toml"
-    file.write_text(GOOD)
+    file.write_text(VALID_SETTINGS)
     assert load(file).params.workers.lease_s == 10.0
 
 
 def test_later_limits_are_the_smaller_ones(tmp_path: Path) -> None:
     file = tmp_path / "next.toml"
     state = "txn_ops = 16\nnext = { txn_ops = 5, value_kb = 64.0, later = 1 }"
-    file.write_text(GOOD.replace("txn_ops = 16", state))
+    file.write_text(VALID_SETTINGS.replace("txn_ops = 16", state))
     later = load(file).params.state.apply_next()
     assert (later.txn_ops, later.value_kb, later.write_rps) == (5, 8.0, 20.0)
 
@@ -83,8 +83,8 @@
 )
 def test_bad_settings_name_the_field(tmp_path: Path, old: str, new: str, field: str) -> None:
     file = tmp_path / "bad.toml"
-    assert old in GOOD
-    file.write_text(GOOD.replace(old, new))
+    assert old in VALID_SETTINGS
+    file.write_text(VALID_SETTINGS.replace(old, new))
     with pytest.raises(SettingsError) as wrong:
         load(file)
     assert str(file) in str(wrong.value)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -470,17 +470,22 @@
 
 @pytest.mark.parametrize("seed", [1, 5])
 def test_shares_shift_all_day_with_all_troubles(seed: int) -> None:
-    fleet = SharesFleet(seed, capacity=test_fleet.MACHINES, moves=FAST | {"limit_s": 40.0})
+    fleet = SharesFleet(seed, capacity=test_fleet.MACHINE_COUNT, moves=FAST | {"limit_s": 40.0})
     fleet.lost_commits, fleet.copied = 0.02, 0.05
-    test_fleet.jobs(fleet, 60)
-    kinds = [*test_fleet.TROUBLES, test_fleet.zone_cut, test_fleet.frozen, test_fleet.hang]
+    test_fleet.submit_jobs(fleet, 60)
+    kinds = [
+        *test_fleet.FAULTS,
+        test_fleet.cut_off_zone,
+        test_fleet.freeze_controller,
+        test_fleet.hang_workers,
+    ]
     for _ in range(fleet.rng.randrange(6, 14)):
         trouble = fleet.rng.choice(kinds)
         fleet.after(fleet.rng.uniform(10.0, 68.0), lambda t=trouble: t(fleet))  # type: ignore[misc]
     fleet.after(12.0, lambda: shift(fleet, 100.0))
-    fleet.after(test_fleet.CALM, lambda: test_fleet.calm(fleet))
-    fleet.run(test_fleet.END)
-    test_fleet.nothing_lost(fleet)
+    fleet.after(test_fleet.FAULTS_END_AT_S, lambda: test_fleet.end_faults(fleet))
+    fleet.run(test_fleet.RUN_END_AT_S)
+    test_fleet.check_no_job_lost(fleet)
     assert sum(fleet.handovers.values()) > 40
     assert not fleet.under_way()
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -242,23 +242,23 @@
     meanwhile: Callable[[Fleet], None] | None = None,
 ) -> Fleet:
     teams = [{**t} for t in days.TEAMS]
-    fleet = Fleet(seed, days.MACHINES, old, teams=teams, state=STATE)
+    fleet = Fleet(seed, days.MACHINE_COUNT, old, teams=teams, state=STATE)
     fleet.lost_commits, fleet.copied = 0.02, 0.03
-    days.jobs(fleet, 50)
+    days.submit_jobs(fleet, 50)
     roll(fleet, 12.0, every)
     for _ in range(7):
-        trouble = fleet.rng.choice(days.TROUBLES)
+        trouble = fleet.rng.choice(days.FAULTS)
         fleet.after(fleet.rng.uniform(8.0, 66.0), lambda t=trouble: t(fleet))  # type: ignore[misc]
     if meanwhile is not None:
         fleet.after(limits_at - 1.0, lambda: meanwhile(fleet))
     fleet.after(limits_at, lambda: lower(fleet))
-    fleet.after(days.CALM, lambda: days.calm(fleet))
+    fleet.after(days.FAULTS_END_AT_S, lambda: days.end_faults(fleet))
     for number in range(24):
         # Services are never named.
         at = 12.0 + NODES * every + fleet.rng.uniform(8.0, 40.0)
         earlier = f"job-{number}" if number % 4 == 0 else None
         fleet.after(at, lambda n=number, e=earlier: pipeline(fleet, n, e))  # type: ignore[misc]
-    fleet.run(days.END + 20.0)
+    fleet.run(days.RUN_END_AT_S + 20.0)
     assert fleet.sent["production"]
     assert fleet.sent["ours"]
     return fleet
@@ -272,7 +272,7 @@
     fleet = mixed(seed, old, limits_at, every)
     store = fleet.store
     assert store.keys[str(records.FORMAT_LEVEL_KEY)][0][0] == records.BASE_LEVEL
-    days.nothing_lost(fleet)
+    days.check_no_job_lost(fleet)
     late = [
         k for k in store.keys if codec.json_size_bytes(store.keys[k][0]) > NEXT["value_kb"] * 1024
     ]
@@ -280,12 +280,14 @@
     assert sum(j.told == "cancelled" and bool(j.needs) for j in fleet.jobs.values()) > 3
 
 
-@pytest.mark.parametrize("meanwhile", [days.outage, days.all_down])
+@pytest.mark.parametrize(
+    "meanwhile", [days.fail_state_service, days.fail_state_service_and_controllers]
+)
 def test_limits_fall_while_nobody_can_see_it(
     meanwhile: Callable[[Fleet], None], old: Version
 ) -> None:
     """In an outage, and in the election after all controllers ended in one."""
-    days.nothing_lost(mixed(7, old, 55.0, 6.0, meanwhile))
+    days.check_no_job_lost(mixed(7, old, 55.0, 6.0, meanwhile))
 
 
 # Lower limits
@@ -512,8 +514,8 @@
     """Each controller leaves and joins once; two versions must not add a roster to that."""
     rosters = []
     for first, then in ((old, OURS), (OURS, OURS)):
-        fleet = Fleet(5, days.MACHINES, first, teams=days.TEAMS, state=STATE)
-        days.jobs(fleet, 20)
+        fleet = Fleet(5, days.MACHINE_COUNT, first, teams=days.TEAMS, state=STATE)
+        days.submit_jobs(fleet, 20)
         roll(fleet, 12.0, 6.0)
         fleet.run(70.0)
         assert all(n.version is then for n in fleet.nodes)
@@ -523,7 +525,7 @@
 
 def test_a_day_that_breaks_a_rule_is_seen(old: Version) -> None:
     """The checker itself: production would start what waits for others."""
-    fleet = Fleet(6, days.MACHINES, old, state=STATE)
+    fleet = Fleet(6, days.MACHINE_COUNT, old, state=STATE)
     fleet.after(20.0, lambda: fleet.submit("job-1", 30.0))
     fleet.after(21.0, lambda: fleet.submit("job-2", 5.0, Prereqs=["job-1"]))
     with pytest.raises(RuleBrokenError, match="job-2/0 starts before"):
