--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The policy language: what it takes, what it refuses and where."""
+"""The policy language: evaluation of rules, and errors with their position."""
 
 import pytest
 
@@ -12,7 +12,8 @@
 }  # fmt: skip
 
 
-def test_the_papers_rules_can_be_written() -> None:
+def test_rules_of_all_kinds_are_parsed_and_evaluated() -> None:
+    """The rules of the paper's section 3.2; only rules whose condition holds may take effect."""
     policy = parse_policy(
         """
         # section 3.2
@@ -25,17 +26,18 @@
         """
     )
     assert policy.parameters == DEFAULT_PARAMETERS._replace(eta=0.001, idle=60.0)
-    got = policy.evaluate_rules(ENVIRONMENT)
-    assert (got.recruit, got.at_least, got.at_most) == (1, 2, 9)
-    assert got.active_rules == ("grow", "floor", "cap")
+    adjustment = policy.evaluate_rules(ENVIRONMENT)
+    assert (adjustment.recruit, adjustment.at_least, adjustment.at_most) == (1, 2, 9)
+    assert adjustment.active_rules == ("grow", "floor", "cap")
 
 
-def test_every_name_of_the_language_is_given_a_value() -> None:
+def test_environment_has_a_value_for_every_variable() -> None:
+    """A variable that is missing here would leave its evaluation untested."""
     assert set(ENVIRONMENT) == set(VARIABLE_TYPES)
 
 
 @pytest.mark.parametrize(
-    ("text", "where", "what"),
+    ("text", "position", "message"),
     [
         ("rule a: when size > 1 then recruit 1", "line 1, column 14", "unknown name 'size'"),
         ("\nset etta = 1", "line 2, column 5", "unknown name 'etta'"),
@@ -53,13 +55,17 @@
         ("rule a: when " + "not " * 70 + "spot then recruit 1", "line 1", "more than"),
     ],
 )
-def test_what_is_refused_and_where(text: str, where: str, what: str) -> None:
-    with pytest.raises(PolicyError) as wrong:
+def test_invalid_policy_is_rejected_with_line_and_column(
+    text: str, position: str, message: str
+) -> None:
+    """A mistake must be reported when the file is read, with its place, not during evaluation."""
+    with pytest.raises(PolicyError) as error:
         parse_policy(text)
-    assert where in str(wrong.value)
-    assert what in str(wrong.value)
+    assert position in str(error.value)
+    assert message in str(error.value)
 
 
-def test_a_division_by_nothing_is_no_fault() -> None:
+def test_division_by_zero_does_not_fail() -> None:
+    """`losses` is often 0; a rule that divides by it must not stop the controller."""
     policy = parse_policy("rule a: when queue / losses > 5 then recruit 2")
     assert policy.evaluate_rules(ENVIRONMENT).recruit == 2
