--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The layers import downwards only: what may be used by whom."""
+"""Imports between the packages of coursefold follow the layers."""
 
 import ast
 from pathlib import Path
@@ -7,8 +7,8 @@
 
 PACKAGE = Path(__file__).resolve().parent.parent / "coursefold"
 
-# Layer: the others that it may import. What a layer does not name, it must not know.
-LAYERS = {
+# Packages that each layer may import; it must not import any others.
+ALLOWED_IMPORTS = {
     "protocol": set(),
     "policy": set(),
     "storage": {"protocol"},
@@ -17,37 +17,40 @@
     "shares": {"protocol", "storage", "coordination"},
     "transport": {"protocol", "storage", "cells"},
 }
-SHARED = {"settings", "histograms", "coursefold"}  # modules without a layer that all may use
+SHARED_MODULES = {"settings", "histograms", "coursefold"}  # outside the layers; all may import them
 
 
-def imported(path: Path) -> set[str]:
-    """The names below `coursefold` that a module imports from."""
+def list_imports(path: Path) -> set[str]:
+    """Returns the packages and modules directly below `coursefold` that a file imports from."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.ImportFrom) and node.module:
-            names |= _below(node.module)
+            names |= _top_level_name(node.module)
         elif isinstance(node, ast.Import):
             for alias in node.names:
-                names |= _below(alias.name)
+                names |= _top_level_name(alias.name)
     return names
 
 
-def _below(module: str) -> set[str]:
+def _top_level_name(module: str) -> set[str]:
+    """Returns the name below `coursefold`, `coursefold` itself, or nothing for other packages."""
     parts = module.split(".")
     if parts[0] != "coursefold":
         return set()
     return {parts[1] if len(parts) > 1 else "coursefold"}
 
 
-@pytest.mark.parametrize("layer", sorted(LAYERS))
-def test_a_layer_knows_only_those_below_it(layer: str) -> None:
+@pytest.mark.parametrize("layer", sorted(ALLOWED_IMPORTS))
+def test_layer_imports_only_allowed_layers(layer: str) -> None:
+    """An import of a higher layer would make the lower one depend on it and hard to test alone."""
     files = sorted((PACKAGE / layer).glob("*.py"))
     assert files
-    allowed = LAYERS[layer] | SHARED | {layer}
-    wrong = {file.name: sorted(imported(file) - allowed) for file in files}
-    assert {name: found for name, found in wrong.items() if found} == {}
+    allowed = ALLOWED_IMPORTS[layer] | SHARED_MODULES | {layer}
+    forbidden = {file.name: sorted(list_imports(file) - allowed) for file in files}
+    assert {name: found for name, found in forbidden.items() if found} == {}
 
 
-def test_every_package_is_a_layer() -> None:
+def test_every_package_has_a_layer() -> None:
+    """A package that is not listed would not be checked."""
     packages = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
-    assert packages == set(LAYERS)
+    assert packages == set(ALLOWED_IMPORTS)
