--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -16,7 +16,7 @@
 from coursefold.cli import main
 
 # One machine of 10 processors at 3600 an hour, which is 1 a second. It boots for 20 s. Two tasks
-# of 5 processors start for 10 s; one runs for 20 s, the other fails after 10 s. Then it is empty
+# of 5 processors start for 10 s; one runs for 20 s, the other is halted after 10 s. Then it is empty
 # for 30 s.
 LOG = """\
     0.5 n0 DEBUG fleet: type big: 10 cpus, 0 accelerators, 64 GB, 3600 an hour, 1800 when spot
@@ -62,7 +62,7 @@
 
 
 def test_only_successful_attempts_count_as_useful(log: LogReader) -> None:
-    """Processor time of an attempt that failed is repeated, so it must not count."""
+    """Processor time of an attempt that did not succeed is spent again, so it must not count."""
     assert sum_useful_cpu_seconds(log) == {("big/ordinary", "batch"): pytest.approx(100.0)}
 
 
