--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -16,8 +16,8 @@
 from coursefold.cli import main
 
 # One machine of 10 processors at 3600 an hour, which is 1 a second. It boots for 20 s. Two tasks
-# of 5 processors start for 10 s; one runs for 20 s, the other is halted after 10 s. Then the machine
-# is empty for 30 s.
+# of 5 processors start for 10 s; one runs for 20 s, the other is halted after 10 s. Then the
+# machine is empty for 30 s.
 LOG = """\
     0.5 n0 DEBUG fleet: type big: 10 cpus, 0 accelerators, 64 GB, 3600 an hour, 1800 when spot
     1.0 n1 INFO core: accept job-1: 2 tasks of batch for red (5 cpus, 0 accelerators, 4 GB each)
