--- a/tests/cell_processes.py
+++ b/tests/cell_processes.py
@@ -15,7 +15,7 @@
 from coursefold.transport.http_client import HttpClient, NoResponseError
 from tests.standins.servers import Cloud, cloud_app, state_app
 from tests.standins.state import StateStore
-from tests.test_loopback import free_ports
+from tests.test_loopback import find_free_ports
 from tests.world import SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -59,7 +59,7 @@
         self.name, self.directory, self.controller_count = name, directory, controllers
         # Each controller has ports for users, siblings and other cells; the last two ports are
         # those of the state service and the cloud.
-        ports = free_ports(3 * controllers + 2)
+        ports = find_free_ports(3 * controllers + 2)
         self.user_addresses = [f"127.0.0.1:{port}" for port in ports[:controllers]]
         self.peer_addresses = [f"127.0.0.1:{port}" for port in ports[controllers : 2 * controllers]]
         host = f"127.0.{NAMES.index(name) + 1}.1"
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -11,7 +11,7 @@
 from coursefold.settings import Settings
 from coursefold.transport.http_client import HttpClient
 from coursefold.transport.server import CONNECTION_IDLE_S, Server
-from tests.test_loopback import free_ports
+from tests.test_loopback import find_free_ports
 from tests.world import SETTINGS
 
 MAX_CONNECTIONS = 12
@@ -19,7 +19,7 @@
 
 async def check_flood() -> None:
     """Check that a worker's connection survives many idle ones, and that new ones are accepted."""
-    (port,) = free_ports(1)
+    (port,) = find_free_ports(1)
     address = f"127.0.0.1:{port}"
     server = Server(address, lambda ticket, *_: server.respond(ticket, 200, {}), MAX_CONNECTIONS)
     worker = HttpClient(address, 1)
@@ -47,7 +47,7 @@
 
 async def check_overdue() -> None:
     """Check that an incomplete request is closed after the idle time, and others are not."""
-    (port,) = free_ports(1)
+    (port,) = find_free_ports(1)
     server = Server(
         f"127.0.0.1:{port}", lambda ticket, *_: server.respond(ticket, 200, {}), MAX_CONNECTIONS
     )
@@ -92,7 +92,7 @@
             pass
 
     async def send() -> None:
-        ports = dict(zip(("listen", "peer_listen"), free_ports(2), strict=True))
+        ports = dict(zip(("listen", "peer_listen"), find_free_ports(2), strict=True))
         listen = {key: f"127.0.0.1:{port}" for key, port in ports.items()}
         controller = service.Service(msgspec.convert(SETTINGS | listen, Settings))
         monkeypatch.setattr(service, "HttpClient", SilentClient)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -258,23 +258,23 @@
     `meanwhile` is called one second before the limits fall.
     """
     teams = [{**t} for t in days.TEAMS]
-    fleet = Fleet(seed, days.MACHINES, old, teams=teams, state=STATE_LIMITS)
+    fleet = Fleet(seed, days.MACHINE_COUNT, old, teams=teams, state=STATE_LIMITS)
     fleet.lost_commits, fleet.duplicate_share = 0.02, 0.03
-    days.jobs(fleet, 50)
+    days.submit_jobs(fleet, 50)
     schedule_roll(fleet, 12.0, roll_interval_s)
     for _ in range(7):
-        trouble = fleet.rng.choice(days.TROUBLES)
+        trouble = fleet.rng.choice(days.FAULTS)
         fleet.after(fleet.rng.uniform(8.0, 66.0), lambda t=trouble: t(fleet))  # type: ignore[misc]
     if meanwhile is not None:
         fleet.after(limits_at - 1.0, lambda: meanwhile(fleet))
     fleet.after(limits_at, lambda: lower_store_limits(fleet))
-    fleet.after(days.CALM, lambda: days.calm(fleet))
+    fleet.after(days.FAULTS_END_AT_S, lambda: days.end_faults(fleet))
     for number in range(24):
         # Jobs of the day whose names are prerequisites of a pipeline; never services.
         at = 12.0 + NODES * roll_interval_s + fleet.rng.uniform(8.0, 40.0)
         earlier = f"job-{number}" if number % 4 == 0 else None
         fleet.after(at, lambda n=number, e=earlier: submit_pipeline(fleet, n, e))  # type: ignore[misc]
-    fleet.run(days.END + 20.0)
+    fleet.run(days.RUN_END_AT_S + 20.0)
     assert fleet.sent_changes["production"]
     assert fleet.sent_changes["ours"]
     return fleet
@@ -290,7 +290,7 @@
     fleet = run_mixed_day(seed, old, limits_at, every)
     store = fleet.store
     assert store.keys[str(records.FORMAT_LEVEL_KEY)][0][0] == records.BASE_LEVEL
-    days.nothing_lost(fleet)
+    days.check_no_job_lost(fleet)
     oversized = [
         k
         for k in store.keys
@@ -300,12 +300,14 @@
     assert sum(j.told_status == "cancelled" and bool(j.needs) for j in fleet.jobs.values()) > 3
 
 
-@pytest.mark.parametrize("meanwhile", [days.outage, days.all_down])
+@pytest.mark.parametrize(
+    "meanwhile", [days.fail_state_service, days.fail_state_service_and_controllers]
+)
 def test_nothing_is_lost_when_limits_fall_while_no_controller_can_see_it(
     meanwhile: Callable[[Fleet], None], old: Version
 ) -> None:
     """Limits fall in an outage, or while all controllers are down and then elect a leader."""
-    days.nothing_lost(run_mixed_day(7, old, 55.0, 6.0, meanwhile))
+    days.check_no_job_lost(run_mixed_day(7, old, 55.0, 6.0, meanwhile))
 
 
 # Lower limits of the state service
@@ -544,8 +546,8 @@
     """Each controller leaves and joins once; mixed versions must add no roster changes."""
     rosters = []
     for from_version, to_version in ((old, OURS), (OURS, OURS)):
-        fleet = Fleet(5, days.MACHINES, from_version, teams=days.TEAMS, state=STATE_LIMITS)
-        days.jobs(fleet, 20)
+        fleet = Fleet(5, days.MACHINE_COUNT, from_version, teams=days.TEAMS, state=STATE_LIMITS)
+        days.submit_jobs(fleet, 20)
         schedule_roll(fleet, 12.0, 6.0)
         fleet.run(70.0)
         assert all(n.version is to_version for n in fleet.nodes)
@@ -555,7 +557,7 @@
 
 def test_the_checker_reports_a_broken_rule(old: Version) -> None:
     """Production knows no prerequisites, so it starts a job that waits for another."""
-    fleet = Fleet(6, days.MACHINES, old, state=STATE_LIMITS)
+    fleet = Fleet(6, days.MACHINE_COUNT, old, state=STATE_LIMITS)
     fleet.after(20.0, lambda: fleet.submit("job-1", 30.0))
     fleet.after(21.0, lambda: fleet.submit("job-2", 5.0, Prereqs=["job-1"]))
     with pytest.raises(RuleBrokenError, match="job-2/0 starts before"):
