--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -18,21 +18,21 @@
 from tests.shares_world import SharesFleet
 from tests.world import EPOCH
 
-FAST = {"at_once": 40, "a_minute": 600, "retry_s": 5.0}
+FAST_MOVES = {"at_once": 40, "a_minute": 600, "retry_s": 5.0}
 MOVE_S = 30.0
 
 
 def running(jobs: int = 16, run_s: float = 20.0, **fields: Any) -> SharesFleet:
     """A fleet with work, past its first roster, and settled."""
-    fleet = SharesFleet(capacity=40, moves=FAST | fields.pop("moves", {}), **fields)
+    fleet = SharesFleet(capacity=40, moves=FAST_MOVES | fields.pop("moves", {}), **fields)
     fleet.fill(jobs, run_s)
     fleet.run(30.0)
     return fleet
 
 
-def with_replicas(count: int = 16, **fields: Any) -> SharesFleet:
+def fleet_with_replicas(count: int = 16, **fields: Any) -> SharesFleet:
     """A fleet with a replica on each machine, none of which ends by itself."""
-    fleet = SharesFleet(capacity=40, moves=FAST | fields.pop("moves", {}), **fields)
+    fleet = SharesFleet(capacity=40, moves=FAST_MOVES | fields.pop("moves", {}), **fields)
     whole = {"Shape": "standing", "Vcpus": 16.0, "Accelerators": 2.0, "Loaners": True}
     for number in range(count // 2):
         fleet.submit(f"job-9{number}", 1e6, None, Pieces=2, Rank="prod", **whole)
@@ -154,7 +154,7 @@
 
 @pytest.mark.parametrize("lands", ["at once, unheard", "late"])
 def test_a_handover_whose_answer_is_lost(lands: str) -> None:
-    fleet = with_replicas()
+    fleet = fleet_with_replicas()
     before = places(fleet)
     lost: list[float] = []
 
@@ -173,7 +173,7 @@
 
 
 def test_a_handover_that_lands_after_its_withdrawal_is_refused() -> None:
-    fleet = with_replicas()
+    fleet = fleet_with_replicas()
     held: list[dict[str, Any]] = []
     sender, target = ask(fleet, 1)
     source = node(fleet, sender)
@@ -253,7 +253,7 @@
 
 def test_replicas_outlive_an_outage_that_begins_with_their_handover() -> None:
     """The old owner does not know whether they are still its own, and keeps their leases."""
-    fleet = with_replicas()
+    fleet = fleet_with_replicas()
     before = places(fleet)
     lost: list[Node] = []
 
@@ -274,7 +274,7 @@
     trouble: Callable[[SharesFleet, Node, Node], None],
 ) -> None:
     """The world checks that their tasks are gone within `cancel_s`."""
-    fleet = with_replicas()
+    fleet = fleet_with_replicas()
     names = list(fleet.jobs)
 
     def interfere(sender: Node) -> None:
@@ -406,7 +406,7 @@
 
 def test_shares_of_a_controller_that_is_down_return_to_it_by_moves() -> None:
     counts = [{"controller": name, "type": "g2", "weight": w} for name, w in (("n0", 3.0),)]
-    fleet = with_replicas(36, shares=counts, moves={"at_once": 3})
+    fleet = fleet_with_replicas(36, shares=counts, moves={"at_once": 3})
     fleet.run_until(lambda: fleet.counts()["n0"] >= 14, 60.0)
     one = node(fleet, "n0")
     one.stop()
@@ -436,7 +436,7 @@
 
 
 def test_beside_production_nothing_moves_and_after_it_machines_do(old: Version) -> None:
-    fleet = SharesFleet(capacity=40, version=old, moves=FAST)
+    fleet = SharesFleet(capacity=40, version=old, moves=FAST_MOVES)
     names = fleet.fill(12, 8.0)
     fleet.run(15.0)
     for number, one in enumerate(fleet.nodes):
@@ -470,7 +470,7 @@
 
 @pytest.mark.parametrize("seed", [1, 5])
 def test_shares_shift_all_day_with_all_troubles(seed: int) -> None:
-    fleet = SharesFleet(seed, capacity=test_fleet.MACHINES, moves=FAST | {"limit_s": 40.0})
+    fleet = SharesFleet(seed, capacity=test_fleet.MACHINES, moves=FAST_MOVES | {"limit_s": 40.0})
     fleet.lost_commits, fleet.copied = 0.02, 0.05
     test_fleet.jobs(fleet, 60)
     kinds = [*test_fleet.TROUBLES, test_fleet.zone_cut, test_fleet.frozen, test_fleet.hang]
