--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,8 +1,9 @@
-"""Machines that move between controllers while jobs run, and the controllers that fail meanwhile.
+"""Moves of machines between controllers while jobs run and controllers fail.
 
-Each test makes its failure happen and asserts that it did. The world checks the protocol's
-rules at every start and answer, and at every look that a machine has one owner, that its
-fencing token rises with each change of owner, and that no two controllers command it.
+Each test causes its failure and asserts that it occurred. The simulated cluster checks the
+protocol's rules at every task start and response. At every check interval it also checks that
+a machine has one owner, that its fencing token increases with each change of owner, and that no
+two controllers command it.
 """
 
 from collections.abc import Callable
@@ -19,11 +20,11 @@
 from tests.world import EPOCH
 
 FAST_MOVES = {"at_once": 40, "a_minute": 600, "retry_s": 5.0}
-MOVE_S = 30.0
+MOVE_START_LIMIT_S = 30.0
 
 
-def running(jobs: int = 16, run_s: float = 20.0, **fields: Any) -> SharesFleet:
-    """A fleet with work, past its first roster, and settled."""
+def busy_fleet(jobs: int = 16, run_s: float = 20.0, **fields: Any) -> SharesFleet:
+    """Return a settled fleet, past its first roster, with `jobs` jobs of `run_s` seconds each."""
     fleet = SharesFleet(capacity=40, moves=FAST_MOVES | fields.pop("moves", {}), **fields)
     fleet.fill(jobs, run_s)
     fleet.run(30.0)
@@ -31,112 +32,124 @@
 
 
 def fleet_with_replicas(count: int = 16, **fields: Any) -> SharesFleet:
-    """A fleet with a replica on each machine, none of which ends by itself."""
+    """Return a fleet of `count` machines with a replica on each that does not end by itself."""
     fleet = SharesFleet(capacity=40, moves=FAST_MOVES | fields.pop("moves", {}), **fields)
-    whole = {"Shape": "standing", "Vcpus": 16.0, "Accelerators": 2.0, "Loaners": True}
+    whole_machine = {"Shape": "standing", "Vcpus": 16.0, "Accelerators": 2.0, "Loaners": True}
     for number in range(count // 2):
-        fleet.submit(f"job-9{number}", 1e6, None, Pieces=2, Rank="prod", **whole)
+        fleet.submit(f"job-9{number}", 1e6, None, Pieces=2, Rank="prod", **whole_machine)
     fleet.run(55.0)
     assert len(fleet.on) == count
     return fleet
 
 
-def places(fleet: SharesFleet) -> dict[str, str]:
-    """Where each running task is."""
+def task_locations(fleet: SharesFleet) -> dict[str, str]:
+    """Return the machine of each running task."""
     return {name: worker.id for name, (worker, _) in fleet.on.items()}
 
 
-def most_and_least(fleet: SharesFleet) -> tuple[str, str]:
-    """The controllers with the most and the fewest machines, neither of which leads."""
+def fullest_and_emptiest(fleet: SharesFleet) -> tuple[str, str]:
+    """Return the controllers with the most and the fewest machines, the leader left out."""
     counts = fleet.counts()
-    led = fleet.led().name
-    names = sorted((n.name for n in fleet.nodes if n.name != led), key=lambda n: (counts[n], n))
+    leader = fleet.led().name
+    names = sorted(
+        (node.name for node in fleet.nodes if node.name != leader),
+        key=lambda name: (counts[name], name),
+    )
     return names[-1], names[0]
 
 
-def node(fleet: SharesFleet, name: str) -> Node:
-    return next(n for n in fleet.nodes if n.name == name)
+def find_node(fleet: SharesFleet, name: str) -> Node:
+    """Return the simulated controller of that name."""
+    return next(node for node in fleet.nodes if node.name == name)
 
 
-def ask(fleet: SharesFleet, count: int = 3, name: str = "r-1", **more: Any) -> tuple[str, str]:
-    """Have machines moved from the fullest controller to the emptiest."""
-    source, target = most_and_least(fleet)
-    answer = fleet.move(source, target, count, name, **more)
-    assert answer.status == 200, answer
+def move_machines(
+    fleet: SharesFleet, count: int = 3, request_id: str = "r-1", **fields: Any
+) -> tuple[str, str]:
+    """Request a move from the fullest controller to the emptiest; return (source, target)."""
+    source, target = fullest_and_emptiest(fleet)
+    response = fleet.move(source, target, count, request_id, **fields)
+    assert response.status == 200, response
     return source, target
 
 
-def ends_well(fleet: SharesFleet, names: list[str], most_s: float = 150.0) -> None:
-    """Every job ends once, no move stays, and every machine has a live owner."""
-    fleet.run_until(lambda: fleet.all_done(names) and not fleet.under_way(), most_s)
+def check_all_settled(fleet: SharesFleet, names: list[str], limit_s: float = 150.0) -> None:
+    """Check that every job ends once, no move stays, and each machine has a live owner."""
+    fleet.run_until(lambda: fleet.all_done(names) and not fleet.under_way(), limit_s)
     assert all(len(fleet.jobs[name].done) == fleet.jobs[name].size for name in names)
-    fleet.run_until(lambda: set(fleet.counts()) <= {n.name for n in fleet.nodes if n.up}, 30.0)
+    fleet.run_until(
+        lambda: set(fleet.counts()) <= {node.name for node in fleet.nodes if node.up}, 30.0
+    )
     assert sum(fleet.counts().values()) == len(fleet.up())
 
 
-def test_shares_shift_again_and_again_under_load() -> None:
-    """Counts add up at every look, and nothing is stopped, rented or returned by a move."""
-    fleet = running(jobs=0)
+def test_repeated_moves_under_load_keep_tasks_and_machines() -> None:
+    """A move must not stop tasks, rent or return machines, or leave a machine uncounted."""
+    fleet = busy_fleet(jobs=0)
     names = fleet.fill(40, 12.0, prefix="2")
     replicas = {"Shape": "standing", "Rank": "prod", "Pieces": 4, "Loaners": False}
     fleet.submit("job-9", 1e6, None, **replicas)
     fleet.run(fleet.now + 30.0)
     machines = set(fleet.workers)
     for number in range(8):
-        ask(fleet, 3, f"r-{number}")
+        move_machines(fleet, 3, f"r-{number}")
         names += fleet.fill(4, 10.0, prefix=str(30 + number))
         fleet.run(fleet.now + 6.0)
         assert sum(fleet.counts().values()) == len(fleet.up())
-    ends_well(fleet, names)
+    check_all_settled(fleet, names)
     assert sum(fleet.handovers.values()) >= 15
     assert fleet.handed_with_tasks >= 1
     assert not fleet.stops
-    assert {n for n in fleet.workers if not fleet.workers[n].gone} <= machines
+    assert {name for name in fleet.workers if not fleet.workers[name].gone} <= machines
     assert fleet.jobs["job-9"].told == "running"
-    shown = fleet.led().core.health_status()["shares"]
-    owned = sum(row["owned"] for row in shown["scopes"][0]["controllers"])
+    shares_health = fleet.led().core.health_status()["shares"]
+    owned = sum(row["owned"] for row in shares_health["scopes"][0]["controllers"])
     assert owned == len(fleet.up())
-    assert shown["durations"]["handover"]["total"] >= 15
+    assert shares_health["durations"]["handover"]["total"] >= 15
 
 
 @pytest.mark.parametrize("back_s", [0.1, 6.0, None])
 @pytest.mark.parametrize("who", ["leader", "source", "target", "both"])
-def test_controllers_that_end_in_the_middle_of_moves(who: str, back_s: float | None) -> None:
-    """Once while machines drain, and once in the moment in which a handover is sent."""
-    fleet = running(run_s=30.0)
+def test_moves_settle_when_controllers_end_in_the_middle(who: str, back_s: float | None) -> None:
+    """A controller that ends while machines drain, or while its handover is being sent, must not
+    leave a machine without an owner or a job that never ends.
+    """
+    fleet = busy_fleet(run_s=30.0)
     names = list(fleet.jobs)
-    pair = ask(fleet, 3)
-    ended: list[str] = []
-
-    def end(names_: list[str]) -> None:
-        for name in names_:
-            one = node(fleet, name)
-            if one.up:
-                ended.append(name)
-                one.stop()
+    pair = move_machines(fleet, 3)
+    stopped: list[str] = []
+
+    def stop_controllers(controllers: list[str]) -> None:
+        for name in controllers:
+            node = find_node(fleet, name)
+            if node.up:
+                stopped.append(name)
+                node.stop()
                 if back_s is not None:
-                    fleet.after(back_s, one.start)
+                    fleet.after(back_s, node.start)
 
-    chosen = {
+    controllers_by_role = {
         "leader": [fleet.led().name], "source": [pair[0]], "target": [pair[1]], "both": [*pair]
     }  # fmt: skip
-    fleet.run_until(lambda: bool(fleet.under_way()), MOVE_S)
-    end(chosen[who])
+    fleet.run_until(lambda: bool(fleet.under_way()), MOVE_START_LIMIT_S)
+    stop_controllers(controllers_by_role[who])
     fleet.run(fleet.now + 8.0)
     if back_s is not None:
         fleet.run_until(lambda: len(fleet.members()) == len(fleet.nodes), 30.0)
         names += fleet.fill(20, 15.0, prefix="2")
         fleet.run(fleet.now + 25.0)
-        ask(fleet, 1, "r-2")
-        fleet.on_handover = lambda sender: end([sender.name])
+        move_machines(fleet, 1, "r-2")
+        fleet.on_handover = lambda sender: stop_controllers([sender.name])
         fleet.run_until(lambda: fleet.on_handover is None, 60.0)
-    ends_well(fleet, names)
-    assert len(ended) >= (1 if back_s is None else 2)
+    check_all_settled(fleet, names)
+    assert len(stopped) >= (1 if back_s is None else 2)
 
 
 def test_an_old_owner_that_stalls_through_the_handover_changes_nothing() -> None:
-    """It stands still after its last word, and goes on when its machines are another's."""
-    fleet = running()
+    """The old owner freezes right after it has sent the handover and resumes when the machines
+    have a new owner. Its late commands must not start a task twice.
+    """
+    fleet = busy_fleet()
     names = list(fleet.jobs)
     stalled: list[Node] = []
 
@@ -145,178 +158,214 @@
         sender.frozen_until = fleet.now + 12.0
 
     fleet.on_handover = stall
-    ask(fleet, 4)
-    fleet.run_until(lambda: bool(stalled), MOVE_S)
+    move_machines(fleet, 4)
+    fleet.run_until(lambda: bool(stalled), MOVE_START_LIMIT_S)
     fleet.run(fleet.now + 14.0)
     assert fleet.now > stalled[0].frozen_until
-    ends_well(fleet, names)
+    check_all_settled(fleet, names)
 
 
 @pytest.mark.parametrize("lands", ["at once, unheard", "late"])
-def test_a_handover_whose_answer_is_lost(lands: str) -> None:
+def test_a_handover_whose_response_is_lost_moves_no_tasks(lands: str) -> None:
+    """The commit is applied, at once or late, but its response is lost. An old owner that takes
+    it for failed would command machines of the new one.
+    """
     fleet = fleet_with_replicas()
-    before = places(fleet)
-    lost: list[float] = []
+    before = task_locations(fleet)
+    lost_at: list[float] = []
 
-    def lose(sender: Node) -> None:
-        lost.append(fleet.now)
+    def lose_response(sender: Node) -> None:
+        lost_at.append(fleet.now)
         fleet.lost_commits = 1.0
         if lands == "late":
             sender.refused_until = fleet.now + 1.0
 
-    fleet.on_handover = lose
-    source, target = ask(fleet, 3)
-    fleet.run_until(lambda: bool(lost), MOVE_S)
+    fleet.on_handover = lose_response
+    source, target = move_machines(fleet, 3)
+    fleet.run_until(lambda: bool(lost_at), MOVE_START_LIMIT_S)
     fleet.run_until(lambda: fleet.handovers[(source, target)] >= 3, 40.0)
     fleet.run(fleet.now + 15.0)
-    assert places(fleet) == before
+    assert task_locations(fleet) == before
 
 
-def test_a_handover_that_lands_after_its_withdrawal_is_refused() -> None:
+def test_a_handover_commit_after_its_withdrawal_is_refused() -> None:
+    """A delayed handover commit that is applied after the withdrawal would give the machine an
+    owner while the old one commands it again.
+    """
     fleet = fleet_with_replicas()
-    held: list[dict[str, Any]] = []
-    sender, target = ask(fleet, 1)
-    source = node(fleet, sender)
-    send = source._send
-
-    def hold(batch: Any) -> None:
-        if any(isinstance(r, MachineOwnership) for r in batch.results.values()) and not held:
-            held.append(batch.body)
-            source.refused_until = fleet.now + 1.5  # nothing else of it is written meanwhile
+    held_bodies: list[dict[str, Any]] = []
+    sender, target = move_machines(fleet, 1)
+    source = find_node(fleet, sender)
+    send_batch = source._send
+
+    def hold_handover(batch: Any) -> None:
+        if (
+            any(isinstance(record, MachineOwnership) for record in batch.results.values())
+            and not held_bodies
+        ):
+            held_bodies.append(batch.body)
+            source.refused_until = (
+                fleet.now + 1.5
+            )  # no other commit of the source succeeds meanwhile
             source.core.queue.handle_missing_response(batch, source.core.ctx.now, 0.3)
             return
-        send(batch)
+        send_batch(batch)
 
-    source._send = hold  # type: ignore[method-assign]
-    fleet.run_until(lambda: bool(held), MOVE_S)
+    source._send = hold_handover  # type: ignore[method-assign]
+    fleet.run_until(lambda: bool(held_bodies), MOVE_START_LIMIT_S)
     machine, record = next(iter(fleet.under_way().items()))
-    answer = fleet.command("/shares/withdraw", {"Epoch": record.epoch})
-    assert answer.body["Machines"] == [machine]
+    response = fleet.command("/shares/withdraw", {"Epoch": record.epoch})
+    assert response.body["Machines"] == [machine]
     fleet.run_until(lambda: not fleet.under_way(), 5.0)
-    status, _ = fleet.store.commit(fleet.now, held[0])
+    status, _ = fleet.store.commit(fleet.now, held_bodies[0])
     assert status == 409
     assert fleet.owner_of(machine) == sender
     fleet.command("/shares/withdraw", {"RequestId": "r-1"})
     fleet.run(fleet.now + 10.0)
-    assert fleet.owner_of(machine) == sender  # its owner acts for it again
+    assert fleet.owner_of(machine) == sender  # the source commands the machine again
     assert fleet.workers[machine].node == source.number
     assert not fleet.handovers[(sender, target)]
 
 
-def refuse_target(fleet: SharesFleet, _: Node, target: Node) -> None:
+def refuse_target_at_store(fleet: SharesFleet, _: Node, target: Node) -> None:
+    """Make the state service refuse the new owner for 15 seconds."""
     target.refused_until = fleet.now + 15.0
 
 
-def cut_target(fleet: SharesFleet, _: Node, target: Node) -> None:
+def cut_off_target(fleet: SharesFleet, _: Node, target: Node) -> None:
+    """Cut the new owner off the network for 15 seconds."""
     target.cut_until = fleet.now + 15.0
 
 
-def refuse_siblings(fleet: SharesFleet, _: Node, __: Node) -> None:
+def refuse_peer_connections(fleet: SharesFleet, _: Node, __: Node) -> None:
+    """Refuse all connections between controllers for 8 seconds."""
     fleet.peers_refused_until = fleet.now + 8.0
 
 
-def outage(fleet: SharesFleet, _: Node, __: Node) -> None:
-    fleet.outage_until = fleet.now + 9.0  # within the machines' lease
+def fail_state_service(fleet: SharesFleet, _: Node, __: Node) -> None:
+    """Stop the state service for 9 seconds."""
+    fleet.outage_until = fleet.now + 9.0  # shorter than the machines' lease
 
 
-def refuse_source(fleet: SharesFleet, source: Node, _: Node) -> None:
+def refuse_source_at_store(fleet: SharesFleet, source: Node, _: Node) -> None:
+    """Make the state service refuse the old owner for 9 seconds."""
     source.refused_until = fleet.now + 9.0
 
 
-def deaf_machines(fleet: SharesFleet, _: Node, __: Node) -> None:
+def lose_worker_responses(fleet: SharesFleet, _: Node, __: Node) -> None:
+    """Lose the responses to every third machine for 9 seconds."""
     for worker in list(fleet.workers.values())[::3]:
         worker.deaf_until = fleet.now + 9.0
 
 
 @pytest.mark.parametrize(
-    "trouble", [refuse_target, cut_target, refuse_siblings, outage, refuse_source, deaf_machines]
+    "trouble",
+    [
+        refuse_target_at_store,
+        cut_off_target,
+        refuse_peer_connections,
+        fail_state_service,
+        refuse_source_at_store,
+        lose_worker_responses,
+    ],
 )
-def test_trouble_in_the_moment_of_a_handover(
+def test_moves_settle_when_faults_coincide_with_a_handover(
     trouble: Callable[[SharesFleet, Node, Node], None],
 ) -> None:
-    """The new owner is behind or cut off, all are, or the machines hear nobody."""
-    fleet = running(jobs=20, run_s=8.0)
-    fleet.copied = 0.3  # late copies of reports, at any controller
-    happened: list[Node] = []
-    source, target = most_and_least(fleet)
+    """The new owner is behind or cut off, all controllers are, or machines miss responses: jobs
+    still end exactly once, and no machine loses its owner.
+    """
+    fleet = busy_fleet(jobs=20, run_s=8.0)
+    fleet.copied = 0.3  # share of reports that reach some controller again, late
+    senders: list[Node] = []
+    source, target = fullest_and_emptiest(fleet)
 
     def interfere(sender: Node) -> None:
-        happened.append(sender)
-        trouble(fleet, sender, node(fleet, target))
+        senders.append(sender)
+        trouble(fleet, sender, find_node(fleet, target))
 
     fleet.on_handover = interfere
     assert fleet.move(source, target, 4, "r-1").status == 200
-    fleet.run_until(lambda: bool(happened), MOVE_S)
+    fleet.run_until(lambda: bool(senders), MOVE_START_LIMIT_S)
     names = [*fleet.jobs, *fleet.fill(10, 6.0, prefix="4")]
-    ends_well(fleet, names)
+    check_all_settled(fleet, names)
 
 
 def test_replicas_outlive_an_outage_that_begins_with_their_handover() -> None:
-    """The old owner does not know whether they are still its own, and keeps their leases."""
+    """The old owner does not know whether the machines are still its own. If it stopped renewing
+    their leases, the replicas would stop.
+    """
     fleet = fleet_with_replicas()
-    before = places(fleet)
-    lost: list[Node] = []
+    before = task_locations(fleet)
+    senders: list[Node] = []
 
-    def begin(sender: Node) -> None:
-        lost.append(sender)
+    def start_outage(sender: Node) -> None:
+        senders.append(sender)
         fleet.lost_commits = 1.0
         fleet.outage_until = fleet.now + 13.0  # longer than the machines' leases
 
-    fleet.on_handover = begin
-    ask(fleet, 2)
-    fleet.run_until(lambda: bool(lost), MOVE_S)
+    fleet.on_handover = start_outage
+    move_machines(fleet, 2)
+    fleet.run_until(lambda: bool(senders), MOVE_START_LIMIT_S)
     fleet.run(fleet.now + 40.0)
-    assert places(fleet) == before
+    assert task_locations(fleet) == before
 
 
-@pytest.mark.parametrize("trouble", [outage, refuse_source, deaf_machines])
-def test_jobs_cancelled_while_their_machines_change_hands(
+@pytest.mark.parametrize(
+    "trouble", [fail_state_service, refuse_source_at_store, lose_worker_responses]
+)
+def test_jobs_cancelled_during_a_handover_stop_in_time(
     trouble: Callable[[SharesFleet, Node, Node], None],
 ) -> None:
-    """The world checks that their tasks are gone within `cancel_s`."""
+    """A cancellation in the middle of a handover may reach neither owner; the simulated cluster
+    checks that the tasks are gone within `cancel_s`.
+    """
     fleet = fleet_with_replicas()
     names = list(fleet.jobs)
 
     def interfere(sender: Node) -> None:
-        other = next(n for n in fleet.nodes if n is not sender)
+        other = next(node for node in fleet.nodes if node is not sender)
         for name in names:
             fleet.call_off(fleet.jobs[name], other)
         trouble(fleet, sender, sender)
 
     fleet.on_handover = interfere
-    ask(fleet, 3)
-    fleet.run_until(lambda: fleet.on_handover is None, MOVE_S)
+    move_machines(fleet, 3)
+    fleet.run_until(lambda: fleet.on_handover is None, MOVE_START_LIMIT_S)
     fleet.run(fleet.now + 70.0)
     assert not fleet.on
     assert all(fleet.jobs[name].told == "cancelled" for name in names)
 
 
-def test_drain_saves_tasks_that_have_room_elsewhere_and_no_others() -> None:
-    fleet = running(jobs=0)
-    saved = fleet.fill(12, 45.0, prefix="2")
-    lasting = fleet.fill(12, 45.0, prefix="3", SnapshotEveryS=0.0)
+def test_drain_stops_only_tasks_that_take_snapshots() -> None:
+    """Stopping a task that takes no snapshots would lose its progress."""
+    fleet = busy_fleet(jobs=0)
+    with_snapshots = fleet.fill(12, 45.0, prefix="2")
+    without_snapshots = fleet.fill(12, 45.0, prefix="3", SnapshotEveryS=0.0)
     fleet.run(fleet.now + 30.0)
-    ask(fleet, 3, Mode="drain")
-    ends_well(fleet, [*saved, *lasting])
-    assert set(fleet.stops) & set(saved)
-    assert not set(fleet.stops) & set(lasting)
+    move_machines(fleet, 3, Mode="drain")
+    check_all_settled(fleet, [*with_snapshots, *without_snapshots])
+    assert set(fleet.stops) & set(with_snapshots)
+    assert not set(fleet.stops) & set(without_snapshots)
 
 
 def test_a_machine_is_moved_by_one_move_at_a_time() -> None:
-    """A second one finds others, or none; a repeated request is the same one."""
-    fleet = running(jobs=40, run_s=60.0)
-    source, target = most_and_least(fleet)
+    """Two moves of one machine could hand it to two owners. A second move has to choose others or
+    none, and a repeated request counts as the same one.
+    """
+    fleet = busy_fleet(jobs=40, run_s=60.0)
+    source, target = fullest_and_emptiest(fleet)
     first = fleet.move(source, target, 3, "r-1")
-    fleet.run_until(lambda: len(fleet.under_way()) == 3, MOVE_S)
+    fleet.run_until(lambda: len(fleet.under_way()) == 3, MOVE_START_LIMIT_S)
     before = fleet.under_way()
-    again = fleet.move(source, target, 3, "r-1")
-    assert again.body == first.body
+    repeated = fleet.move(source, target, 3, "r-1")
+    assert repeated.body == first.body
     assert fleet.move(source, target, 2, "r-1").status == 422
-    third = next(n.name for n in fleet.nodes if n.name not in (source, target))
+    third = next(node.name for node in fleet.nodes if node.name not in (source, target))
     fleet.move(source, third, 1, "r-2")
     fleet.run(fleet.now + 3.0)
     after = fleet.under_way()
-    assert {m: r for m, r in after.items() if m in before} == before
+    assert {name: record for name, record in after.items() if name in before} == before
     machine, record = next(iter(before.items()))
     core = fleet.led().enter()
     planner = fleet.shares[fleet.led().number].planner
@@ -327,15 +376,17 @@
     assert fleet.under_way()[machine] == record
 
 
-def test_requests_that_are_taken_back_turn_machines_back() -> None:
-    """By their withdrawal, and by another request the other way: nothing changes hands."""
-    fleet = running(jobs=40, run_s=60.0)
-    source, target = ask(fleet, 3)
-    fleet.run_until(lambda: len(fleet.under_way()) == 3, MOVE_S)
+def test_requests_that_are_withdrawn_or_reversed_hand_nothing_over() -> None:
+    """Guards against a handover after its request was withdrawn, or after a request in the
+    opposite direction.
+    """
+    fleet = busy_fleet(jobs=40, run_s=60.0)
+    source, target = move_machines(fleet, 3)
+    fleet.run_until(lambda: len(fleet.under_way()) == 3, MOVE_START_LIMIT_S)
     assert fleet.command("/shares/withdraw", {"RequestId": "r-1"}).body["Withdrawn"]
     fleet.run_until(lambda: not fleet.under_way(), 3.0)
     assert fleet.move(source, target, 3, "r-2").status == 200
-    fleet.run_until(lambda: len(fleet.under_way()) == 3, MOVE_S)
+    fleet.run_until(lambda: len(fleet.under_way()) == 3, MOVE_START_LIMIT_S)
     assert fleet.move(target, source, 3, "r-3").status == 200
     fleet.run_until(lambda: not fleet.under_way(), 3.0)
     fleet.run(fleet.now + 5.0)
@@ -344,17 +395,19 @@
 
 
 def test_drain_stops_nothing_that_has_no_room_elsewhere() -> None:
-    fleet = running(jobs=44, run_s=60.0)  # more than there are machines
+    """A stopped task without a free machine elsewhere would only wait."""
+    fleet = busy_fleet(jobs=44, run_s=60.0)  # more jobs than machines
     fleet.run(fleet.now + 10.0)
     assert len(fleet.on) == 40
-    ask(fleet, 2, Mode="drain")
-    fleet.run_until(lambda: len(fleet.under_way()) == 2, MOVE_S)
+    move_machines(fleet, 2, Mode="drain")
+    fleet.run_until(lambda: len(fleet.under_way()) == 2, MOVE_START_LIMIT_S)
     fleet.run(fleet.now + 10.0)
     assert len(fleet.under_way()) == 2
     assert not fleet.stops
 
 
 def _second_request(machine: str, record: MachineOwnership, epoch: int) -> Any:
+    """Return the edit that requests another move of a machine that already moves."""
     from coursefold.shares.moves import Move, request_move
 
     move = Move(machine, record.source, "n0", epoch, record.mode, record.expires_at, "second")
@@ -362,35 +415,42 @@
 
 
 def test_nothing_new_starts_on_a_machine_that_drains() -> None:
-    """Half of each machine is free, and the leader knows its siblings' machines too."""
-    fleet = running(jobs=0)
-    half = {"Vcpus": 8.0, "Accelerators": 1.0}
-    names = fleet.fill(24, 60.0, prefix="2", **half)
+    """Half of each machine is free and the leader also knows its siblings' machines, so it could
+    place tasks there, which would delay the handover.
+    """
+    fleet = busy_fleet(jobs=0)
+    half_machine = {"Vcpus": 8.0, "Accelerators": 1.0}
+    names = fleet.fill(24, 60.0, prefix="2", **half_machine)
     fleet.run(fleet.now + 20.0)
-    ask(fleet, 2)
-    fleet.run_until(lambda: len(fleet.under_way()) == 2, MOVE_S)
+    move_machines(fleet, 2)
+    fleet.run_until(lambda: len(fleet.under_way()) == 2, MOVE_START_LIMIT_S)
     draining = set(fleet.under_way())
-    fleet.run(fleet.now + 5.0)  # what was placed before fetches its image
+    fleet.run(fleet.now + 5.0)  # tasks placed earlier fetch their image
     before = {name for name, (worker, _) in fleet.on.items() if worker.id in draining}
     assert before
-    names += fleet.fill(12, 10.0, prefix="3", **half)
-    end = fleet.now + 25.0
-    while fleet.now < end:
+    names += fleet.fill(12, 10.0, prefix="3", **half_machine)
+    end_at = fleet.now + 25.0
+    while fleet.now < end_at:
         fleet.run(fleet.now + 0.2)
-        still = draining & set(fleet.under_way())
-        rooms = {room.id: room for room in fleet.led().enter().ctx.available_machines()}
-        assert all(rooms[machine].is_unschedulable for machine in still & set(rooms))
-        there = {name for name, (worker, _) in fleet.on.items() if worker.id in still}
-        assert there <= before
+        still_draining = draining & set(fleet.under_way())
+        capacities = {
+            capacity.id: capacity for capacity in fleet.led().enter().ctx.available_machines()
+        }
+        assert all(
+            capacities[machine].is_unschedulable for machine in still_draining & set(capacities)
+        )
+        running = {name for name, (worker, _) in fleet.on.items() if worker.id in still_draining}
+        assert running <= before
     assert any(fleet.jobs[name].first_start > 0 for name in names[24:])
-    ends_well(fleet, names)
+    check_all_settled(fleet, names)
 
 
 @pytest.mark.parametrize("how", ["returned", "recalled", "taken"])
-def test_a_return_goes_before_a_move(how: str) -> None:
-    fleet = running(jobs=40, run_s=60.0)
-    ask(fleet, 2)
-    fleet.run_until(lambda: len(fleet.under_way()) == 2, MOVE_S)
+def test_a_return_takes_precedence_over_a_move(how: str) -> None:
+    """A machine that is returned or recalled must not be handed over to another controller."""
+    fleet = busy_fleet(jobs=40, run_s=60.0)
+    move_machines(fleet, 2)
+    fleet.run_until(lambda: len(fleet.under_way()) == 2, MOVE_START_LIMIT_S)
     machine = next(iter(fleet.under_way()))
     inventory = fleet.led().enter().fleet.inventory
     if how == "returned":
@@ -401,75 +461,90 @@
         fleet.workers[machine].kill()
     fleet.run_until(lambda: machine not in fleet.under_way(), 60.0)
     assert not fleet.ownership()[machine].owner
-    ends_well(fleet, list(fleet.jobs), 300.0)
+    check_all_settled(fleet, list(fleet.jobs), 300.0)
 
 
 def test_shares_of_a_controller_that_is_down_return_to_it_by_moves() -> None:
-    counts = [{"controller": name, "type": "g2", "weight": w} for name, w in (("n0", 3.0),)]
-    fleet = fleet_with_replicas(36, shares=counts, moves={"at_once": 3})
+    """A restarted controller must not take its former machines at once, without handovers."""
+    shares = [
+        {"controller": name, "type": "g2", "weight": weight} for name, weight in (("n0", 3.0),)
+    ]
+    fleet = fleet_with_replicas(36, shares=shares, moves={"at_once": 3})
     fleet.run_until(lambda: fleet.counts()["n0"] >= 14, 60.0)
-    one = node(fleet, "n0")
-    one.stop()
+    node = find_node(fleet, "n0")
+    node.stop()
     fleet.run(fleet.now + 6.0)
     assert fleet.counts()["n0"] == 0
-    one.start()
+    node.start()
     fleet.run(fleet.now + 4.0)
-    jump = fleet.counts()["n0"]
+    count_after_start = fleet.counts()["n0"]
     fleet.run_until(lambda: fleet.counts()["n0"] >= 14, 100.0)
-    assert jump <= 11  # what the hash gives it, and no more
-
-
-def test_without_files_or_with_few_of_them_nothing_is_written() -> None:
-    """The forms of shares come in only once every controller has the file."""
-    some = SharesFleet(capacity=40, without=frozenset({1, 3}))
-    some.fill(8, 10.0)
-    some.run(25.0)
-    assert some.led().core.view.format_level < records.SHARES_LEVEL
-    if some.led().number in some.shares:
-        assert some.move("n0", "n1", 1, "r-1").status == 503
-    none = SharesFleet(capacity=40, without=frozenset(range(5)))
-    none.fill(8, 10.0)
-    none.run(25.0)
-    keys = {key.split("/")[1] for key in none.store.keys if key.startswith("cf/")}
+    assert count_after_start <= 11  # only the machines that the hash gives it
+
+
+def test_nothing_is_written_until_every_controller_has_the_file() -> None:
+    """Controllers without the file may not read the records of shares, so the storage format
+    rises only once every controller has the file.
+    """
+    partial_fleet = SharesFleet(capacity=40, without=frozenset({1, 3}))
+    partial_fleet.fill(8, 10.0)
+    partial_fleet.run(25.0)
+    assert partial_fleet.led().core.view.format_level < records.SHARES_LEVEL
+    if partial_fleet.led().number in partial_fleet.shares:
+        assert partial_fleet.move("n0", "n1", 1, "r-1").status == 503
+    fleet_without = SharesFleet(capacity=40, without=frozenset(range(5)))
+    fleet_without.fill(8, 10.0)
+    fleet_without.run(25.0)
+    keys = {key.split("/")[1] for key in fleet_without.store.keys if key.startswith("cf/")}
     assert not keys & {"s", "r"}
-    assert none.command("/shares/move", {}).status == 404
+    assert fleet_without.command("/shares/move", {}).status == 404
 
 
-def test_beside_production_nothing_moves_and_after_it_machines_do(old: Version) -> None:
+def test_machines_move_only_after_every_controller_is_upgraded(old: Version) -> None:
+    """The production version cannot read ownership records; a move before the last controller is
+    upgraded would give a machine two owners.
+    """
     fleet = SharesFleet(capacity=40, version=old, moves=FAST_MOVES)
     names = fleet.fill(12, 8.0)
     fleet.run(15.0)
-    for number, one in enumerate(fleet.nodes):
+    for number, node in enumerate(fleet.nodes):
         assert not fleet.store.rows("cf/s/")
-        one.stop()
-        one.version = OURS
-        one.start()
+        node.stop()
+        node.version = OURS
+        node.start()
         names += fleet.fill(6, 20.0, prefix=str(2 + number))
         fleet.run(fleet.now + 6.0)
     fleet.run_until(lambda: fleet.led().core.view.format_level == records.SHARES_LEVEL, 30.0)
-    pair = ask(fleet, 2)
+    pair = move_machines(fleet, 2)
     fleet.run_until(lambda: fleet.handovers[pair] >= 2, 60.0)
-    ends_well(fleet, names)
+    check_all_settled(fleet, names)
 
 
-def test_controllers_without_the_file_keep_what_was_moved() -> None:
-    """One that starts again without it reads the records, and lets no machine jump back."""
-    fleet = running()
-    source, target = ask(fleet, 3)
+def test_a_controller_without_the_file_respects_earlier_moves() -> None:
+    """A controller that restarts without the file reads the ownership records all the same;
+    otherwise it would claim machines by hash.
+    """
+    fleet = busy_fleet()
+    source, target = move_machines(fleet, 3)
     fleet.run_until(lambda: fleet.handovers[(source, target)] >= 3, 60.0)
     moved = set(fleet.ownership())
-    third = next(n for n in fleet.nodes if n.name not in (source, target, fleet.led().name))
+    third = next(
+        node for node in fleet.nodes if node.name not in (source, target, fleet.led().name)
+    )
     fleet.without = frozenset({third.number})
     third.stop()
     third.start()
     fleet.run(fleet.now + 8.0)
     assert {fleet.owner_of(machine) for machine in moved} == {target}
     third.enter()
-    assert {third.core.ctx.owner_of(m, fleet.workers[m].zone) for m in moved} == {target}
+    assert {third.core.ctx.owner_of(machine, fleet.workers[machine].zone) for machine in moved} == {
+        target
+    }
 
 
 @pytest.mark.parametrize("seed", [1, 5])
-def test_shares_shift_all_day_with_all_troubles(seed: int) -> None:
+def test_random_moves_with_random_faults_lose_no_job(seed: int) -> None:
+    """Random moves and random faults of all kinds must not lose jobs or leave moves unfinished."""
     fleet = SharesFleet(seed, capacity=test_fleet.MACHINES, moves=FAST_MOVES | {"limit_s": 40.0})
     fleet.lost_commits, fleet.copied = 0.02, 0.05
     test_fleet.jobs(fleet, 60)
@@ -477,7 +552,7 @@
     for _ in range(fleet.rng.randrange(6, 14)):
         trouble = fleet.rng.choice(kinds)
         fleet.after(fleet.rng.uniform(10.0, 68.0), lambda t=trouble: t(fleet))  # type: ignore[misc]
-    fleet.after(12.0, lambda: shift(fleet, 100.0))
+    fleet.after(12.0, lambda: request_random_moves(fleet, 100.0))
     fleet.after(test_fleet.CALM, lambda: test_fleet.calm(fleet))
     fleet.run(test_fleet.END)
     test_fleet.nothing_lost(fleet)
@@ -485,11 +560,11 @@
     assert not fleet.under_way()
 
 
-def shift(fleet: SharesFleet, until: float) -> None:
-    """Ask for another move every few seconds, whatever becomes of it."""
+def request_random_moves(fleet: SharesFleet, until: float) -> None:
+    """Request a random move every few seconds until a given time, whatever their outcome."""
     leader = fleet.leader()
     if leader is not None:
-        source, target = fleet.rng.sample([n.name for n in fleet.nodes], 2)
+        source, target = fleet.rng.sample([node.name for node in fleet.nodes], 2)
         body = {
             "RequestId": f"r-{int(fleet.now * 10)}", "From": source, "To": target, "Type": "g2",
             "Count": fleet.rng.randrange(1, 12), "Mode": fleet.rng.choice(["finish", "drain"]),
@@ -497,16 +572,18 @@
         }  # fmt: skip
         fleet.send("/shares/move", body, leader)
     if fleet.now < until:
-        fleet.after(fleet.rng.uniform(1.0, 4.0), lambda: shift(fleet, until))
+        fleet.after(fleet.rng.uniform(1.0, 4.0), lambda: request_random_moves(fleet, until))
 
 
-def test_the_world_notices_a_token_that_does_not_rise() -> None:
-    """The check itself: a record that changes the owner under the old token is caught."""
-    fleet = running()
+def test_the_simulation_detects_a_token_that_does_not_rise() -> None:
+    """Guards the check of the simulated cluster: it must catch a record that changes the owner
+    under the old token.
+    """
+    fleet = busy_fleet()
     machine = fleet.up()[0]
     roster, _ = fleet.roster()
     assert roster is not None
-    other = next(m for m in roster.members if m.name != fleet.owner_of(machine))
+    other = next(member for member in roster.members if member.name != fleet.owner_of(machine))
     fleet.store.set(f"cf/s/{machine}", [1, 0, other.name, other.lease_id, 1])
     with pytest.raises(RuleBrokenError, match="changed hands"):
         fleet.run(fleet.now + 1.0)
