--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -394,7 +394,7 @@
     assert not fleet.handovers
 
 
-def test_drain_stops_nothing_that_has_no_room_elsewhere() -> None:
+def test_drain_stops_nothing_without_free_machines_elsewhere() -> None:
     """A stopped task without a free machine elsewhere would only wait."""
     fleet = busy_fleet(jobs=44, run_s=60.0)  # more jobs than machines
     fleet.run(fleet.now + 10.0)
