--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -204,9 +204,8 @@
             and not held_bodies
         ):
             held_bodies.append(batch.body)
-            source.refused_until = (
-                fleet.now + 1.5
-            )  # no other commit of the source succeeds meanwhile
+            # No other commit of the source succeeds meanwhile.
+            source.refused_until = fleet.now + 1.5
             source.core.queue.handle_missing_response(batch, source.core.ctx.now, 0.3)
             return
         send_batch(batch)
