--- a/tests/test_cells_input.py
+++ b/tests/test_cells_input.py
@@ -1,4 +1,4 @@
-"""Cells: bad files, bad frames, and the decisions one by one."""
+"""Unit tests of coursefold/cells: configuration files, frames, record edits and policy."""
 
 import asyncio
 import math
@@ -47,11 +47,11 @@
 from tests.test_settings import GOOD
 from tests.world import CATALOG, EPOCH, JOB, SETTINGS, World
 
-KIND = decode(encode(CATALOG), Catalog).machine_types[0]
-NAME = JobId("job-1")
-HANDLE = Handle(NAME, 1, "9-1")
+MACHINE_TYPE = decode(encode(CATALOG), Catalog).machine_types[0]
+JOB_NAME = JobId("job-1")
+JOB_HANDLE = Handle(JOB_NAME, 1, "9-1")
 
-FILE = """
+CELLS_FILE = """
 cell = "galway"
 grant_s = 12.0
 [[cells]]
@@ -66,44 +66,48 @@
 
 
 def spec(**fields: Any) -> Job:
-    return decode(encode(JOB | {"NameId": NAME} | fields), Job)
+    """Return the job description of `JOB_NAME`, with wire fields changed."""
+    return decode(encode(JOB | {"NameId": JOB_NAME} | fields), Job)
 
 
 def pool(**fields: Any) -> PoolState:
-    return PoolState(KIND, False, 0.0007, 10.0, 0.0, 0.5, 0.0, 0.0)._replace(**fields)
+    """Return the state of a pool with ten free slots and an empty queue, with fields changed."""
+    return PoolState(MACHINE_TYPE, False, 0.0007, 10.0, 0.0, 0.5, 0.0, 0.0)._replace(**fields)
 
 
 def frame(**fields: Any) -> Frame:
-    plain = Frame("east", "n0", 5, 1, EPOCH, 10.0, 40.0)
-    return plain._replace(**fields)
+    """Return a frame of member n0 of cell east without any lists, with fields changed."""
+    empty_frame = Frame("east", "n0", 5, 1, EPOCH, 10.0, 40.0)
+    return empty_frame._replace(**fields)
 
 
-# The file
+# Configuration file
 
 
-def settings_file(tmp_path: Path) -> Path:
+def write_settings(tmp_path: Path) -> Path:
+    """Write a valid settings file and return its path."""
     file = tmp_path / "settings.toml"
     file.write_text(GOOD)
     return file
 
 
-def test_a_good_file_is_taken(tmp_path: Path) -> None:
-    settings = load(settings_file(tmp_path))
+def test_a_valid_file_is_loaded(tmp_path: Path) -> None:
+    settings = load(write_settings(tmp_path))
     file = tmp_path / "cells.toml"
-    file.write_text(FILE)
+    file.write_text(CELLS_FILE)
     config = load_cells(file, settings)
     assert [entry.name for entry in config.other_cells] == ["dublin"]
     assert config.listen == "10.1.0.1:7000"
     assert config.is_allowed_address("dublin", "10.2.3.4")
     assert config.is_allowed_address("dublin", "2001:db8::7")
     assert not config.is_allowed_address("dublin", "10.1.0.1")
-    assert not config.is_allowed_address("galway", "10.1.0.1")  # ourselves
+    assert not config.is_allowed_address("galway", "10.1.0.1")  # the own cell
     assert config.is_other_cell_address("10.2.3.4")
     assert not config.is_other_cell_address("10.3.0.1")
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "what"),
+    ("old", "new", "message"),
     [
         ('cell = "galway"', 'cell = "cork"', "cells: the own cell 'cork' is not among them"),
         ('"10.2.0.1:7000"', '"10.1.0.2:7000"', "is in cell galway already"),
@@ -124,60 +128,69 @@
         ("grant_s = 12.0", "grant_s = ", "not TOML"),
     ],
 )
-def test_a_wrong_file_ends_the_start_with_one_line(
-    tmp_path: Path, old: str, new: str, what: str
+def test_an_invalid_file_ends_the_command_with_a_one_line_error(
+    tmp_path: Path, old: str, new: str, message: str
 ) -> None:
-    assert old in FILE
+    assert old in CELLS_FILE
     file = tmp_path / "cells.toml"
-    file.write_text(FILE.replace(old, new, 1))
-    config = str(settings_file(tmp_path))
+    file.write_text(CELLS_FILE.replace(old, new, 1))
+    config = str(write_settings(tmp_path))
     runner = CliRunner()
-    for words in (["check-cells", str(file)], ["serve", "--cells", str(file)]):
-        result = runner.invoke(main, [*words, "--config", config])
+    for arguments in (["check-cells", str(file)], ["serve", "--cells", str(file)]):
+        result = runner.invoke(main, [*arguments, "--config", config])
         assert result.exit_code == 2
-        assert what in result.output
+        assert message in result.output
         assert result.output.count("\n") == 1
 
 
 def test_settings_under_which_no_grant_is_short_enough_are_refused(tmp_path: Path) -> None:
-    """A cancellation could not hold in a cell that cannot be reached."""
+    """Guards against cancelled jobs that run on past `cancel_s` in a cell that is unreachable.
+
+    Only the end of the grant stops them there, so a grant has to be shorter than `cancel_s`.
+    """
     file = tmp_path / "cells.toml"
-    file.write_text(FILE.replace("grant_s = 12.0", ""))
-    good = load(settings_file(tmp_path))
-    params = msgspec.structs.replace(good.params, skew_ms=20_000.0)
+    file.write_text(CELLS_FILE.replace("grant_s = 12.0", ""))
+    settings = load(write_settings(tmp_path))
+    params = msgspec.structs.replace(settings.params, skew_ms=20_000.0)
     with pytest.raises(SettingsError, match="cancel_s: too short for any grant"):
-        load_cells(file, msgspec.structs.replace(good, params=params))
-    assert max_grant_s(good, lease_s=39.5) < 0
+        load_cells(file, msgspec.structs.replace(settings, params=params))
+    assert max_grant_s(settings, lease_s=39.5) < 0
 
 
 # Frames
 
 
 def full_frame() -> Frame:
-    offer = Offer(HANDLE._replace(reservation=""), spec(Pieces=9), EPOCH, 3, [(0, 1), (4, 4)], 60.0)
-    guest = GuestState(HANDLE, GuestStage.RELEASED, 0, [(0, 3)], 7)
+    """Return a frame in which every field and list is filled."""
+    offer = Offer(
+        JOB_HANDLE._replace(reservation=""), spec(Pieces=9), EPOCH, 3, [(0, 1), (4, 4)], 60.0
+    )
+    guest = GuestState(JOB_HANDLE, GuestStage.RELEASED, 0, [(0, 3)], 7)
     return frame(
-        granted_until=EPOCH + 12.0, grant_s=12.0, offers=(offer,), grants=(HANDLE,),
-        revoked=(HANDLE,), closed=(HANDLE,), held_until=EPOCH, guests=(guest,),
-        refusals=(Refusal(HANDLE._replace(reservation=""), "full"),),
+        granted_until=EPOCH + 12.0, grant_s=12.0, offers=(offer,), grants=(JOB_HANDLE,),
+        revoked=(JOB_HANDLE,), closed=(JOB_HANDLE,), held_until=EPOCH, guests=(guest,),
+        refusals=(Refusal(JOB_HANDLE._replace(reservation=""), "full"),),
         pools=(pool(),), wait_histogram=b"", draining=True,
     )  # fmt: skip
 
 
-def test_a_frame_is_read_as_it_was_written() -> None:
-    read = decode_frame(encode_frame(full_frame()))
-    kept = msgspec.structs.replace(KIND, price_per_hour=0.0, spot_price_per_hour=0.0, cache_gb=0.0)
-    assert read == full_frame()._replace(pools=(pool(type_info=kept),))
+def test_a_frame_is_decoded_as_it_was_encoded() -> None:
+    decoded = decode_frame(encode_frame(full_frame()))
+    sent_type = msgspec.structs.replace(
+        MACHINE_TYPE, price_per_hour=0.0, spot_price_per_hour=0.0, cache_gb=0.0
+    )
+    assert decoded == full_frame()._replace(pools=(pool(type_info=sent_type),))
 
 
-def broken(change: Any) -> bytes:
+def encode_changed_frame(change: Any) -> bytes:
+    """Return the bytes of the full frame after `change` was applied to its protobuf message."""
     body = cell_pb2.CellFrame.FromString(encode_frame(full_frame()))
     change(body)
     return bytes(body.SerializeToString())
 
 
-def setter(path: str, value: Any) -> Any:
-    """Sets one field of a frame, or of the first item of one of its lists."""
+def field_setter(path: str, value: Any) -> Any:
+    """Return a function that sets one field of a frame or of the first item of a list in it."""
 
     def change(body: Any) -> None:
         *inner, last = path.split(".")
@@ -189,7 +202,7 @@
     return change
 
 
-BAD: list[tuple[str, Any]] = [
+INVALID_FIELDS: list[tuple[str, Any]] = [
     ("version", 2),
     ("sent_at", math.nan),
     ("lease_s", -1.0),
@@ -201,7 +214,7 @@
     ("offers.handle.epoch", 1 << 60),
     ("offers.spec", b"\xc1"),
     ("offers.spec", encode(JOB | {"NameId": "job-2"})),
-    ("offers.spec", encode(JOB | {"NameId": NAME, "Shape": "standing"})),
+    ("offers.spec", encode(JOB | {"NameId": JOB_NAME, "Shape": "standing"})),
     ("offers.expected_s", math.nan),
     ("offers.done.high", 100),
     ("grants.reservation", ""),
@@ -214,35 +227,37 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "value"), BAD)
-def test_what_no_cell_would_say_is_dropped_whole(path: str, value: Any) -> None:
+@pytest.mark.parametrize(("path", "value"), INVALID_FIELDS)
+def test_a_frame_with_an_invalid_field_is_rejected_as_a_whole(path: str, value: Any) -> None:
     with pytest.raises(InvalidFrameError):
-        decode_frame(broken(setter(path, value)))
+        decode_frame(encode_changed_frame(field_setter(path, value)))
 
 
 @pytest.mark.parametrize("raw", [b"", b"\xff" * 50, encode_frame(full_frame())[:-3]])
-def test_truncated_and_unreadable_frames_are_dropped(raw: bytes) -> None:
+def test_truncated_and_unreadable_frames_are_rejected(raw: bytes) -> None:
     with pytest.raises(InvalidFrameError):
         decode_frame(raw)
 
 
 def config(cell: str = "north") -> CellsConfig:
+    """Return the configuration of a cell of the simulated cells."""
     return CellsConfig(cells_file(cell), msgspec.convert(SETTINGS, Settings))
 
 
-def directory() -> CellDirectory:
+def new_directory() -> CellDirectory:
+    """Return the directory of a controller of north at time `EPOCH`."""
     world = World()
     world.enter()
-    found = CellDirectory(config(), world.core.ctx)
+    directory = CellDirectory(config(), world.core.ctx)
     world.core.ctx.wall_time = WallTime(EPOCH)
-    return found
+    return directory
 
 
 @pytest.mark.parametrize(
     ("fields", "address"),
     [
         ({"cell": "south"}, "127.0.1.1"),
-        ({"cell": "north"}, "127.0.2.1"),  # ourselves
+        ({"cell": "north"}, "127.0.2.1"),  # the own cell
         ({}, "127.0.2.1"),  # the network of another cell
         ({}, "10.0.0.1"),
         ({"member": "n9"}, "127.0.1.1"),
@@ -250,37 +265,44 @@
         ({"sent_at": EPOCH + 60.0}, "127.0.1.1"),
     ],
 )
-def test_a_frame_from_elsewhere_or_another_time_leaves_one_log_line(
+def test_a_frame_from_a_wrong_address_or_time_is_dropped_with_one_error_logged(
     fields: dict[str, Any], address: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    found = directory()
-    assert found.receive_frame(encode_frame(frame(**fields)), address) is None
-    assert all(cell.frame is None for cell in found.cells.values())
-    assert len([r for r in caplog.records if r.levelname == "ERROR"]) == 1
+    directory = new_directory()
+    assert directory.receive_frame(encode_frame(frame(**fields)), address) is None
+    assert all(cell.frame is None for cell in directory.cells.values())
+    assert len([record for record in caplog.records if record.levelname == "ERROR"]) == 1
 
 
-def test_late_and_repeated_frames_are_known_by_their_numbers() -> None:
-    found = directory()
-    for token, seq, taken in ((5, 7, True), (5, 7, False), (5, 6, False), (4, 99, False)):
-        raw = encode_frame(frame(fencing_token=token, sequence=seq))
-        assert (found.receive_frame(raw, "127.0.1.1") is not None) is taken
+def test_late_and_repeated_frames_are_dropped_by_token_and_sequence_number() -> None:
+    directory = new_directory()
+    for token, sequence, accepted in ((5, 7, True), (5, 7, False), (5, 6, False), (4, 99, False)):
+        raw = encode_frame(frame(fencing_token=token, sequence=sequence))
+        assert (directory.receive_frame(raw, "127.0.1.1") is not None) is accepted
     assert (
-        found.receive_frame(encode_frame(frame(fencing_token=6, sequence=1)), "127.0.1.1")
+        directory.receive_frame(encode_frame(frame(fencing_token=6, sequence=1)), "127.0.1.1")
         is not None
     )
 
 
-def test_frames_go_to_the_leader_and_to_all_while_none_is_known() -> None:
-    found = directory()
-    assert all(found.is_recipient("east", member) for member in ("n0", "n1", "n2"))
-    found.receive_frame(encode_frame(frame(member="n1")), "127.0.1.1")
-    assert [found.is_recipient("east", m) for m in ("n0", "n1", "n2")] == [False, True, False]
-    found.ctx.now = MonotonicTime(found.ctx.now + 2.5)
-    assert all(found.is_recipient("east", member) for member in ("n0", "n1", "n2"))
+def test_frames_go_to_the_leader_or_to_all_members_while_no_leader_is_known() -> None:
+    directory = new_directory()
+    assert all(directory.is_recipient("east", member) for member in ("n0", "n1", "n2"))
+    directory.receive_frame(encode_frame(frame(member="n1")), "127.0.1.1")
+    assert [directory.is_recipient("east", member) for member in ("n0", "n1", "n2")] == [
+        False,
+        True,
+        False,
+    ]
+    directory.ctx.now = MonotonicTime(directory.ctx.now + 2.5)
+    assert all(directory.is_recipient("east", member) for member in ("n0", "n1", "n2"))
 
 
 async def send_from(source: str, address: str, raw: bytes) -> bool:
-    """Send bytes from an address; True if the listener then ends the connection."""
+    """Send bytes from the source address to a listener.
+
+    Returns whether the listener closes the connection within a second.
+    """
     host, port = split_address(address)
     reader, writer = await asyncio.open_connection(host, port, local_addr=(source, 0))
     try:
@@ -295,56 +317,60 @@
         writer.close()
 
 
-def test_connections_from_other_networks_and_oversized_frames_are_ended() -> None:
-    async def play() -> None:
-        taken: list[tuple[bytes, str]] = []
+def test_connections_from_other_networks_or_with_oversized_frames_are_closed() -> None:
+    async def send_frames() -> None:
+        received: list[tuple[bytes, str]] = []
 
-        def take(raw: bytes, address: str) -> bool:
-            taken.append((raw, address))
+        def accept_frame(raw: bytes, address: str) -> bool:
+            received.append((raw, address))
             return True
 
         here = config()
         here.listen = f"127.0.2.1:{free_ports(1)[0]}"
-        transport = CellTransport(here, Cells(here, World().core), take)
-        whole = struct.pack(">I", 3) + b"abc"
+        transport = CellTransport(here, Cells(here, World().core), accept_frame)
+        complete = struct.pack(">I", 3) + b"abc"
         try:
-            assert await send_from("127.0.9.9", here.listen, whole)
-            assert await send_from("127.0.2.1", here.listen, whole)  # our own cell's
-            assert not taken
-            assert not await send_from("127.0.1.7", here.listen, whole)
-            assert taken == [(b"abc", "127.0.1.7")]
+            assert await send_from("127.0.9.9", here.listen, complete)
+            assert await send_from("127.0.2.1", here.listen, complete)  # network of the own cell
+            assert not received
+            assert not await send_from("127.0.1.7", here.listen, complete)
+            assert received == [(b"abc", "127.0.1.7")]
             assert await send_from("127.0.1.7", here.listen, struct.pack(">I", 1 << 24))
         finally:
             transport.server.stop()
 
-    asyncio.run(asyncio.wait_for(play(), 20.0))
+    asyncio.run(asyncio.wait_for(send_frames(), 20.0))
 
 
-# Edits
+# Record edits
 
 
-def away_job(stage: DelegationStage, **fields: Any) -> JobRecord:
-    away = Delegation("north", 1, stage, EPOCH, "" if stage == DelegationStage.OFFERED else "9-1")
-    return JobRecord(spec(Pieces=4), EPOCH, delegation=away, **fields)
+def delegated_job(stage: DelegationStage, **fields: Any) -> JobRecord:
+    """Return the home record of a job of four tasks that is delegated to north."""
+    delegation = Delegation(
+        "north", 1, stage, EPOCH, "" if stage == DelegationStage.OFFERED else "9-1"
+    )
+    return JobRecord(spec(Pieces=4), EPOCH, delegation=delegation, **fields)
 
 
 def guest_job(stage: GuestStage, **fields: Any) -> JobRecord:
+    """Return the record of a guest job of four tasks whose home is east."""
     return JobRecord(spec(Pieces=4), EPOCH, guest=Guest("east", 1, "9-1", stage, EPOCH), **fields)
 
 
-OTHERS = [Handle(NAME, 2, "9-1"), Handle(NAME, 1, "9-2"), Handle(NAME, 7, "x")]
+OTHER_HANDLES = [Handle(JOB_NAME, 2, "9-1"), Handle(JOB_NAME, 1, "9-2"), Handle(JOB_NAME, 7, "x")]
 
 
-@pytest.mark.parametrize("handle", OTHERS)
-def test_a_word_under_another_epoch_or_reservation_changes_nothing(handle: Handle) -> None:
-    told = GuestState(handle, GuestStage.RELEASED, 0, [], 0)
+@pytest.mark.parametrize("handle", OTHER_HANDLES)
+def test_an_edit_for_another_epoch_or_reservation_does_not_apply(handle: Handle) -> None:
+    guest_state = GuestState(handle, GuestStage.RELEASED, 0, [], 0)
     for change in (
-        edits.return_job("north", handle, EPOCH, "", told),
+        edits.return_job("north", handle, EPOCH, "", guest_state),
         edits.finish_job("north", handle),
         edits.mark_running("north", handle, EPOCH),
     ):
         with pytest.raises(NotApplicableError):
-            change(away_job(DelegationStage.GRANTED))
+            change(delegated_job(DelegationStage.GRANTED))
     for change in (
         edits.accept_grant("east", handle, EPOCH),
         edits.revoke_job("east", handle),
@@ -354,7 +380,7 @@
             change(guest_job(GuestStage.RESERVED))
 
 
-def test_an_epoch_only_rises_and_a_job_is_offered_once_at_a_time() -> None:
+def test_a_job_is_offered_to_one_cell_at_a_time_with_a_higher_epoch_each_time() -> None:
     first = edits.offer_job(Delegation("north", 1, DelegationStage.OFFERED, EPOCH), 0.0)
     record = first(JobRecord(spec(), EPOCH))
     assert isinstance(record, JobRecord)
@@ -362,15 +388,15 @@
     for epoch in (1, 2):
         with pytest.raises(NotApplicableError):
             edits.offer_job(Delegation("west", epoch, DelegationStage.OFFERED, EPOCH), 0.0)(record)
-    back = edits.return_job("north", Handle(NAME, 1), EPOCH, "no answer")(record)
-    assert isinstance(back, JobRecord)
+    returned = edits.return_job("north", Handle(JOB_NAME, 1), EPOCH, "no answer")(record)
+    assert isinstance(returned, JobRecord)
     with pytest.raises(NotApplicableError):
-        edits.offer_job(Delegation("west", 1, DelegationStage.OFFERED, EPOCH), 0.0)(back)
-    again = edits.offer_job(Delegation("west", 2, DelegationStage.OFFERED, EPOCH), 0.0)(back)
+        edits.offer_job(Delegation("west", 1, DelegationStage.OFFERED, EPOCH), 0.0)(returned)
+    again = edits.offer_job(Delegation("west", 2, DelegationStage.OFFERED, EPOCH), 0.0)(returned)
     assert isinstance(again, JobRecord)
-    # A grant that the first cell's reservation asked for comes too late.
+    # A grant for the reservation of the first cell no longer applies.
     with pytest.raises(NotApplicableError):
-        edits.grant_job("north", HANDLE, EPOCH)(again)
+        edits.grant_job("north", JOB_HANDLE, EPOCH)(again)
 
 
 def test_a_job_with_a_task_or_a_guest_is_not_offered() -> None:
@@ -383,68 +409,70 @@
             change(record)
 
 
-def test_what_was_done_elsewhere_is_done() -> None:
-    told = GuestState(HANDLE, GuestStage.RELEASED, 0, [(1, 2)], 7)
-    change = edits.return_job("north", HANDLE, EPOCH, "released", told)
-    back = change(away_job(DelegationStage.RUNNING, done_ranges=[(0, 0)]))
-    assert isinstance(back, JobRecord)
-    assert back.done_ranges == [(0, 2)]
-    assert back.attempt == 7
-    assert back.quota_task_count == 0
-    whole = GuestState(HANDLE, GuestStage.RELEASED, 0, [(0, 3)], 7)
-    ended = edits.return_job("north", HANDLE, EPOCH, "", whole)(away_job(DelegationStage.RUNNING))
+def test_tasks_done_in_the_guest_cell_are_done_when_the_job_returns() -> None:
+    guest_state = GuestState(JOB_HANDLE, GuestStage.RELEASED, 0, [(1, 2)], 7)
+    change = edits.return_job("north", JOB_HANDLE, EPOCH, "released", guest_state)
+    returned = change(delegated_job(DelegationStage.RUNNING, done_ranges=[(0, 0)]))
+    assert isinstance(returned, JobRecord)
+    assert returned.done_ranges == [(0, 2)]
+    assert returned.attempt == 7
+    assert returned.quota_task_count == 0
+    complete = GuestState(JOB_HANDLE, GuestStage.RELEASED, 0, [(0, 3)], 7)
+    ended = edits.return_job("north", JOB_HANDLE, EPOCH, "", complete)(
+        delegated_job(DelegationStage.RUNNING)
+    )
     assert ended == Ending(records.DONE, 4)
 
 
-def test_progress_elsewhere_is_kept_when_its_cell_is_lost() -> None:
-    running = away_job(DelegationStage.RUNNING)
-    noted = edits.note_progress("north", HANDLE, [(0, 1)])(running)
+def test_recorded_progress_is_kept_when_the_guest_cell_is_lost() -> None:
+    running = delegated_job(DelegationStage.RUNNING)
+    noted = edits.note_progress("north", JOB_HANDLE, [(0, 1)])(running)
     assert isinstance(noted, JobRecord)
     assert noted.is_delegated
     assert noted.quota_task_count == 2
-    back = edits.return_job("north", HANDLE, EPOCH, "lost")(noted)
-    assert isinstance(back, JobRecord)
-    assert back.waiting_indices(9) == [2, 3]
-    for done in ([(0, 1)], [(3, 4)]):  # nothing new; no such task
+    returned = edits.return_job("north", JOB_HANDLE, EPOCH, "lost")(noted)
+    assert isinstance(returned, JobRecord)
+    assert returned.waiting_indices(9) == [2, 3]
+    for done in ([(0, 1)], [(3, 4)]):  # nothing new; a task that does not exist
         with pytest.raises(NotApplicableError):
-            edits.note_progress("north", HANDLE, done)(noted)
+            edits.note_progress("north", JOB_HANDLE, done)(noted)
 
 
-def test_a_cancelled_job_that_is_away_ends_only_on_proof() -> None:
-    offered = jobs.cancel()(away_job(DelegationStage.OFFERED))
-    assert offered == Ending(records.CANCELLED, 4)  # nobody may have started it
-    granted = jobs.cancel()(away_job(DelegationStage.GRANTED))
+def test_a_cancelled_delegated_job_ends_only_once_no_task_can_run() -> None:
+    offered = jobs.cancel()(delegated_job(DelegationStage.OFFERED))
+    assert offered == Ending(records.CANCELLED, 4)  # without a grant no cell may start it
+    granted = jobs.cancel()(delegated_job(DelegationStage.GRANTED))
     assert isinstance(granted, JobRecord)
     assert granted.status == records.CANCELLED
-    ended = edits.return_job("north", HANDLE, EPOCH, "lost")(granted)
+    ended = edits.return_job("north", JOB_HANDLE, EPOCH, "lost")(granted)
     assert ended == Ending(records.CANCELLED, 4)
-    assert edits.finish_job("north", HANDLE)(granted) == Ending(records.CANCELLED, 4)
+    assert edits.finish_job("north", JOB_HANDLE)(granted) == Ending(records.CANCELLED, 4)
 
 
-def test_a_guest_with_tasks_is_not_forgotten() -> None:
+def test_a_guest_with_tasks_is_not_deleted() -> None:
     entries = [TaskEntry(0, records.PLACED, 1, "n0", "a", "i-1", 1)]
     stopping = guest_job(GuestStage.GRANTED, entries=entries)
     with pytest.raises(NotApplicableError):
-        edits.delete_guest("east", HANDLE)(stopping)
-    revoked = edits.revoke_job("east", HANDLE)(stopping)
+        edits.delete_guest("east", JOB_HANDLE)(stopping)
+    revoked = edits.revoke_job("east", JOB_HANDLE)(stopping)
     assert isinstance(revoked, JobRecord)
     assert revoked.guest is not None
-    assert revoked.guest.stage == GuestStage.GRANTED  # until its task is proven gone
-    released = edits.revoke_job("east", HANDLE)(guest_job(GuestStage.RESERVED))
+    assert revoked.guest.stage == GuestStage.GRANTED  # until its task is known to have ended
+    released = edits.revoke_job("east", JOB_HANDLE)(guest_job(GuestStage.RESERVED))
     assert isinstance(released, JobRecord)
     assert released.guest is not None
     assert released.guest.stage == GuestStage.RELEASED
-    assert edits.delete_guest("east", HANDLE)(released) == DeleteKey()
+    assert edits.delete_guest("east", JOB_HANDLE)(released) == DeleteKey()
 
 
-def test_an_id_that_is_taken_is_not_reserved() -> None:
+def test_a_job_id_in_use_is_not_reserved() -> None:
     offer = full_frame().offers[0]
     for record in (JobRecord(spec(), EPOCH), Ending(records.DONE, 1)):
         with pytest.raises(NotApplicableError):
             edits.reserve_job("east", offer, "9-2", EPOCH)(record)
 
 
-def test_grants_never_get_shorter() -> None:
+def test_grants_are_never_shortened() -> None:
     link = CellLink(granted_until=50.0, held_until=60.0)
     for change in (edits.extend_grant(49.0, 12.0, 10.0), edits.record_held_grant(60.0, 12.0)):
         with pytest.raises(NotApplicableError):
@@ -456,24 +484,34 @@
 # Clocks
 
 
-def clock(held_until: float, held_s: float) -> GrantExpiry:
+def new_grant_expiry(held_until: float, held_s: float) -> GrantExpiry:
+    """Return the expiry of a grant held from east, recorded as read at monotonic time 100 s.
+
+    Args:
+        held_until: End of the grant in wall time.
+        held_s: Length of the grant in seconds.
+    """
     view = View()
     view.store_record("cf/c/east", CellLink(held_until=held_until, held_s=held_s), 1)
-    found = GrantExpiry(view)
-    found.observe(MonotonicTime(100.0))
-    return found
+    expiry = GrantExpiry(view)
+    expiry.observe(MonotonicTime(100.0))
+    return expiry
 
 
-def test_a_grant_ends_by_the_time_of_day_or_by_the_steady_clock() -> None:
-    """A clock that is set back must not keep another cell's tasks running."""
-    grants = clock(EPOCH + 12.0, 12.0)
+def test_a_grant_expires_by_the_wall_clock_or_the_monotonic_clock() -> None:
+    """Guards against tasks that run past their grant because the wall clock is set back."""
+    grants = new_grant_expiry(EPOCH + 12.0, 12.0)
     assert not grants.has_expired("east", MonotonicTime(105.0), WallTime(EPOCH + 5.0))
     assert grants.has_expired("east", MonotonicTime(105.0), WallTime(EPOCH + 12.0))
     assert grants.has_expired("east", MonotonicTime(112.1), WallTime(EPOCH - 7200.0))
     assert grants.has_expired("west", MonotonicTime(105.0), WallTime(EPOCH))  # never granted
 
 
-def test_a_clock_that_jumps_forwards_takes_no_job_back() -> None:
+def test_a_wall_clock_that_jumps_forwards_returns_no_job_early() -> None:
+    """Guards against a job that runs in two cells.
+
+    Home would take it back while the guest cell, whose clock did not jump, still holds its grant.
+    """
     world = World()
     cells = Cells(config(), world.core)
     view = world.core.view
@@ -487,78 +525,96 @@
     assert not cells.home._has_grant_expired("east")
     ctx.now = MonotonicTime(ctx.now + 2.0)
     assert cells.home._has_grant_expired("east")
-    ctx.wall_time = WallTime(until + 1.0)  # set back again: not before the time of day has it too
+    ctx.wall_time = WallTime(until + 1.0)  # set back again: both clocks have to be past the end
     assert not cells.home._has_grant_expired("east")
 
 
-# Words on records
+# Reports about guest jobs
 
 
-def leading_cells() -> Cells:
-    """North's leader, which has heard east."""
+def cells_of_leader() -> Cells:
+    """Return the cells part of north's leader, which has received a frame of east."""
     world = World()
     cells = Cells(config(), world.core)
     world.run(3.0)
     ctx = world.enter().ctx
-    raw = encode_frame(frame(sent_at=ctx.wall_time, grants=(HANDLE,), revoked=(OTHERS[1],)))
+    raw = encode_frame(
+        frame(sent_at=ctx.wall_time, grants=(JOB_HANDLE,), revoked=(OTHER_HANDLES[1],))
+    )
     assert cells.directory.receive_frame(raw, "127.0.1.1") is not None
     return cells
 
 
-def words(cells: Cells) -> list[tuple[Handle, GuestStage]]:
-    """What the next frame to east says of its jobs here."""
+def reported_guests(cells: Cells) -> list[tuple[Handle, GuestStage]]:
+    """Return the handle and stage of each job that the next frame to east reports."""
     filled = cells.guest.add_guest_part(frame(), cells.directory.cells["east"])
     return [(state.handle, state.stage) for state in filled.guests]
 
 
-def test_what_home_thinks_is_here_and_is_not_is_called_released() -> None:
-    cells = leading_cells()
+def test_a_job_that_home_lists_and_that_is_not_here_is_reported_as_released() -> None:
+    cells = cells_of_leader()
     released = GuestStage.RELEASED
-    assert words(cells) == [(HANDLE, released), (OTHERS[1], released)]
-    key = records.job_key(NAME)
+    assert reported_guests(cells) == [(JOB_HANDLE, released), (OTHER_HANDLES[1], released)]
+    key = records.job_key(JOB_NAME)
     cells.core.view.store_record(key, guest_job(GuestStage.GRANTED), 10**6)
-    assert words(cells) == [(HANDLE, GuestStage.GRANTED), (OTHERS[1], released)]
+    assert reported_guests(cells) == [
+        (JOB_HANDLE, GuestStage.GRANTED),
+        (OTHER_HANDLES[1], released),
+    ]
 
 
-def test_nothing_is_said_of_a_record_that_can_not_be_read() -> None:
-    """Its tasks may run: neither released here nor closed at home."""
-    cells = leading_cells()
-    cells.core.view.apply_value(records.job_key(NAME), ["not", "a", "job"] * 9, 10**6)
-    assert records.job_key(NAME) in cells.core.view.unreadable_keys
-    assert words(cells) == []
-    state = GuestState(HANDLE, GuestStage.FINISHED, 0, [], 0)
+def test_nothing_is_reported_for_an_unreadable_record() -> None:
+    """Guards against a job that is reported as released here or closed at home while it runs.
+
+    An unreadable record does not show whether tasks run, so it must not count as missing.
+    """
+    cells = cells_of_leader()
+    cells.core.view.apply_value(records.job_key(JOB_NAME), ["not", "a", "job"] * 9, 10**6)
+    assert records.job_key(JOB_NAME) in cells.core.view.unreadable_keys
+    assert reported_guests(cells) == []
+    state = GuestState(JOB_HANDLE, GuestStage.FINISHED, 0, [], 0)
     raw = encode_frame(frame(sequence=2, sent_at=cells.core.ctx.wall_time, guests=(state,)))
     cell = cells.directory.receive_frame(raw, "127.0.1.1")
     assert cell is not None
     assert cells.home.add_home_part(frame(), cell).closed == ()
     cells.core.view.unreadable_keys.clear()
-    assert cells.home.add_home_part(frame(), cell).closed == (HANDLE,)
+    assert cells.home.add_home_part(frame(), cell).closed == (JOB_HANDLE,)
 
 
 @pytest.mark.parametrize(("held_s", "renewed"), [(5.0, True), (4.0, False)])
 def test_a_grant_is_renewed_only_for_a_cell_that_acknowledged_it(
     held_s: float, renewed: bool
 ) -> None:
-    """A cell that is heard and does not hear would else keep our jobs for ever."""
-    cells = guest_world(GuestStage.GRANTED, 50.0)
+    """Guards against jobs kept for ever by a cell whose frames arrive but which receives none.
+
+    Its grant has to expire, so that the jobs return home.
+    """
+    cells = cells_with_guest(GuestStage.GRANTED, 50.0)
     ctx, view = cells.core.ctx, cells.core.view
-    away = Delegation("east", 1, DelegationStage.GRANTED, ctx.wall_time, "7-1")
+    delegation = Delegation("east", 1, DelegationStage.GRANTED, ctx.wall_time, "7-1")
     view.store_record(
-        records.job_key(JobId("job-2")), JobRecord(spec(), ctx.wall_time, delegation=away), 10**6
+        records.job_key(JobId("job-2")),
+        JobRecord(spec(), ctx.wall_time, delegation=delegation),
+        10**6,
     )
     view.store_record("cf/c/east", CellLink(ctx.wall_time + 5.0, 12.0, 10.0), 10**6 + 1)
     raw = encode_frame(frame(sent_at=ctx.wall_time, held_until=ctx.wall_time + held_s))
     cell = cells.directory.receive_frame(raw, "127.0.1.1")
     assert cell is not None
     cells.home._renew_grant(cell)
-    assert ("c/east" in waits_for_writing(cells)) is renewed
+    assert ("c/east" in unwritten_keys(cells)) is renewed
 
 
-# Guards of the guest cell, one by one
+# Preconditions in the guest cell
 
 
-def guest_world(stage: GuestStage, held_s: float) -> Cells:
-    """North leads with a guest of east; its grant ends in so many seconds."""
+def cells_with_guest(stage: GuestStage, held_s: float) -> Cells:
+    """Return the cells part of north's leader, which has a guest of east.
+
+    Args:
+        stage: Stage of the guest.
+        held_s: Seconds until the grant held from east ends; negative if it has ended.
+    """
     world = World()
     cells = Cells(config(), world.core)
     world.run(3.0)
@@ -567,80 +623,87 @@
     view.store_record(
         "cf/c/east", CellLink(held_until=ctx.wall_time + held_s, held_s=held_s), 10**6
     )
-    view.store_record(records.job_key(NAME), guest_job(stage), 10**6)
+    view.store_record(records.job_key(JOB_NAME), guest_job(stage), 10**6)
     world.enter()
     return cells
 
 
-def hears(cells: Cells, seq: int, **fields: Any) -> None:
-    """A frame of east, and what the leader makes of it."""
-    raw = encode_frame(frame(sequence=seq, sent_at=cells.core.ctx.wall_time, **fields))
+def receive_frame(cells: Cells, sequence: int, **fields: Any) -> None:
+    """Deliver a frame of east with these fields and run the guest part of the leader."""
+    raw = encode_frame(frame(sequence=sequence, sent_at=cells.core.ctx.wall_time, **fields))
     assert cells.directory.receive_frame(raw, "127.0.1.1") is not None
     cells.guest.tick()
 
 
-def waits_for_writing(cells: Cells) -> set[str]:
+def unwritten_keys(cells: Cells) -> set[str]:
+    """Return which of the link to east and the job have an edit waiting to be written."""
     keys = {key.removeprefix(records.ROOT) for key in cells.core.queue.waiting_edits}
-    return keys & {"c/east", f"j/{NAME}"}
+    return keys & {"c/east", f"j/{JOB_NAME}"}
+
 
+def test_a_longer_grant_is_recorded_only_after_jobs_that_it_omits_have_stopped() -> None:
+    """Guards against a cancelled job that runs for longer than its last grant.
 
-def test_a_longer_grant_is_held_only_once_what_it_leaves_out_is_stopped() -> None:
-    """Else a cancellation that home leaves out would outlive what was planned for it."""
-    cells = guest_world(GuestStage.GRANTED, 5.0)
+    Home omits it from later frames; recording their longer grant at once would extend it too.
+    """
+    cells = cells_with_guest(GuestStage.GRANTED, 5.0)
     later = cells.core.ctx.wall_time + 12.0
-    hears(cells, 1, granted_until=later)
-    assert waits_for_writing(cells) == {f"j/{NAME}"}
+    receive_frame(cells, 1, granted_until=later)
+    assert unwritten_keys(cells) == {f"j/{JOB_NAME}"}
     stopped = guest_job(GuestStage.RELEASED, status=records.CANCELLED)
-    cells.core.view.store_record(records.job_key(NAME), stopped, 10**6 + 1)
-    hears(cells, 2, granted_until=later)
-    assert "c/east" in waits_for_writing(cells)
+    cells.core.view.store_record(records.job_key(JOB_NAME), stopped, 10**6 + 1)
+    receive_frame(cells, 2, granted_until=later)
+    assert "c/east" in unwritten_keys(cells)
 
 
-def test_a_reservation_that_is_not_listed_goes_before_a_longer_grant() -> None:
-    """A grant of it may still be under way, and must then find nothing."""
-    cells = guest_world(GuestStage.RESERVED, 5.0)
-    hears(cells, 1, granted_until=cells.core.ctx.wall_time + 12.0)
-    assert waits_for_writing(cells) == {f"j/{NAME}"}
+def test_a_reservation_that_home_omits_is_removed_before_a_longer_grant_is_recorded() -> None:
+    """Guards against a delayed grant that starts a job which home has given up here."""
+    cells = cells_with_guest(GuestStage.RESERVED, 5.0)
+    receive_frame(cells, 1, granted_until=cells.core.ctx.wall_time + 12.0)
+    assert unwritten_keys(cells) == {f"j/{JOB_NAME}"}
 
 
-def test_a_grant_is_accepted_only_once_its_end_is_recorded() -> None:
-    cells = guest_world(GuestStage.RESERVED, -1.0)
+def test_a_grant_is_accepted_only_after_its_end_is_recorded() -> None:
+    cells = cells_with_guest(GuestStage.RESERVED, -1.0)
     until = cells.core.ctx.wall_time + 12.0
-    hears(cells, 1, granted_until=until, grants=(HANDLE,))
-    assert waits_for_writing(cells) == {"c/east"}
+    receive_frame(cells, 1, granted_until=until, grants=(JOB_HANDLE,))
+    assert unwritten_keys(cells) == {"c/east"}
     link = CellLink(held_until=until, held_s=12.0)
     cells.core.view.store_record("cf/c/east", link, 10**6 + 1)
     cells.core.set_time(cells.core.ctx.now, cells.core.ctx.wall_time)
-    hears(cells, 2, granted_until=until, grants=(HANDLE,))
-    assert f"j/{NAME}" in waits_for_writing(cells)
+    receive_frame(cells, 2, granted_until=until, grants=(JOB_HANDLE,))
+    assert f"j/{JOB_NAME}" in unwritten_keys(cells)
 
 
-@pytest.mark.parametrize(("held_s", "waits"), [(5.0, True), (-1.0, False)])
-def test_a_guest_is_dealt_only_under_a_grant(held_s: float, waits: bool) -> None:
-    cells = guest_world(GuestStage.GRANTED, held_s)
+@pytest.mark.parametrize(("held_s", "is_queued"), [(5.0, True), (-1.0, False)])
+def test_a_guest_is_queued_only_under_a_grant(held_s: float, is_queued: bool) -> None:
+    cells = cells_with_guest(GuestStage.GRANTED, held_s)
     leader = cells.core.leader
     names = [wait.name for wait in leader.list_queued_jobs(cells.port.new_quota_tracker())]
-    assert (NAME in names) is waits
-    assert ("grant has ended" in leader.waiting_reasons.get(NAME, "")) is not waits
+    assert (JOB_NAME in names) is is_queued
+    assert ("grant has ended" in leader.waiting_reasons.get(JOB_NAME, "")) is not is_queued
 
 
-@pytest.mark.parametrize("patient_s", [0.0, 130.0])
-def test_guests_come_after_our_own_for_a_while(patient_s: float) -> None:
-    cells = guest_world(GuestStage.GRANTED, 50.0)
+@pytest.mark.parametrize("waited_s", [0.0, 130.0])
+def test_guests_are_queued_after_own_jobs_for_their_first_two_minutes(waited_s: float) -> None:
+    cells = cells_with_guest(GuestStage.GRANTED, 50.0)
     ctx, view = cells.core.ctx, cells.core.view
-    guest = Guest("east", 1, "9-1", GuestStage.GRANTED, ctx.wall_time - patient_s)
+    guest = Guest("east", 1, "9-1", GuestStage.GRANTED, ctx.wall_time - waited_s)
     urgent = JobRecord(spec(Rank="urgent"), ctx.wall_time, guest=guest)
-    view.store_record(records.job_key(NAME), urgent, 10**6 + 1)
+    view.store_record(records.job_key(JOB_NAME), urgent, 10**6 + 1)
     own = JobId("job-2")
     view.store_record(records.job_key(own), JobRecord(spec(NameId=own), ctx.wall_time), 10**6 + 1)
     order = [
         wait.name for wait in cells.core.leader.list_queued_jobs(cells.port.new_quota_tracker())
     ]
-    assert order == ([own, NAME] if patient_s == 0.0 else [NAME, own])
+    assert order == ([own, JOB_NAME] if waited_s == 0.0 else [JOB_NAME, own])
 
 
-def test_a_gang_that_is_a_guest_is_finished_and_not_ended() -> None:
-    """Its end is its home's to write: an ending here would be forgotten there."""
+def test_a_completed_guest_gang_is_finished_without_an_ending_record() -> None:
+    """Guards against a completion that home never learns of.
+
+    Only home writes the ending; one written in the guest cell would never reach home.
+    """
     entries = [TaskEntry(n, records.PLACED, 3, "n0", "a", f"i-{n}", 1) for n in range(4)]
     gang = guest_job(GuestStage.GRANTED, entries=entries)
     gang = msgspec.structs.replace(gang, spec=spec(Pieces=4, Shape="ensemble"))
@@ -654,14 +717,14 @@
 @pytest.mark.parametrize(
     "record",
     [
-        away_job(DelegationStage.OFFERED),
-        away_job(DelegationStage.RUNNING),
+        delegated_job(DelegationStage.OFFERED),
+        delegated_job(DelegationStage.RUNNING),
         guest_job(GuestStage.RESERVED),
         guest_job(GuestStage.RELEASED),
     ],
 )
-def test_nothing_of_a_job_is_placed_where_it_may_not_start(record: JobRecord) -> None:
-    """Whatever a leader believes: the record decides."""
+def test_no_task_is_assigned_or_placed_in_a_stage_that_forbids_it(record: JobRecord) -> None:
+    """Guards against a leader with an outdated view: the edit checks the stage in the record."""
     for change in (
         jobs.assign([jobs.Assignment(0, "n0", "a", "i-1")]),
         jobs.place("n0", [jobs.TaskRef(0, 0, "a", "i-1", 1)]),
@@ -674,98 +737,104 @@
 # Records
 
 
-def test_nothing_is_added_to_the_bytes_of_a_job_that_never_moved() -> None:
+def test_a_job_that_was_never_delegated_is_encoded_without_further_fields() -> None:
     plain = JobRecord(spec(), EPOCH)
     moved = msgspec.structs.replace(
         plain, delegation=Delegation("north", 1, DelegationStage.HOME, EPOCH)
     )
     assert len(codec.encode_record(plain, 1)) == 6
     for record in (plain, moved, guest_job(GuestStage.GRANTED)):
-        key = records.job_key(NAME)
+        key = records.job_key(JOB_NAME)
         assert codec.decode_record(key, codec.encode_record(record, 2)) == record
 
 
-def test_use_counts_at_home_while_a_job_is_away() -> None:
+def test_team_usage_counts_a_delegated_job_at_home() -> None:
     view = View()
-    key = records.job_key(NAME)
+    key = records.job_key(JOB_NAME)
     view.store_record(key, JobRecord(spec(Pieces=4), EPOCH), 1)
     assert view.team_usage.get("blue", [0.0, 0.0])[1] == 0.0
-    view.store_record(key, away_job(DelegationStage.OFFERED), 2)
+    view.store_record(key, delegated_job(DelegationStage.OFFERED), 2)
     assert view.team_usage["blue"][1] == 4.0
-    assert NAME not in view.waiting_jobs
-    view.store_record(key, away_job(DelegationStage.RUNNING, status=records.CANCELLED), 3)
-    assert view.team_usage["blue"][1] == 4.0  # until it is proven gone
-    view.store_record(key, away_job(DelegationStage.HOME), 4)
+    assert JOB_NAME not in view.waiting_jobs
+    view.store_record(key, delegated_job(DelegationStage.RUNNING, status=records.CANCELLED), 3)
+    assert view.team_usage["blue"][1] == 4.0  # until it is known to have ended
+    view.store_record(key, delegated_job(DelegationStage.HOME), 4)
     assert view.team_usage["blue"][1] == 0.0
-    assert NAME in view.waiting_jobs
+    assert JOB_NAME in view.waiting_jobs
 
 
-def test_a_guest_is_not_a_job_that_others_may_need() -> None:
+def test_a_guest_is_no_prerequisite_of_other_jobs() -> None:
     view = View()
-    view.store_record(records.job_key(NAME), guest_job(GuestStage.GRANTED), 1)
-    assert view.prerequisite_status(NAME) is None
+    view.store_record(records.job_key(JOB_NAME), guest_job(GuestStage.GRANTED), 1)
+    assert view.prerequisite_status(JOB_NAME) is None
 
 
-# Policy
+# Spill policy
 
 
 def candidate(**fields: Any) -> SpillCandidate:
-    return SpillCandidate(NAME, spec(ImageGb=5.0), 1, 100.0, 60.0, 0.0007, None)._replace(**fields)
+    """Return a job of one task that waits 100 s at home and runs 60 s, with fields changed."""
+    return SpillCandidate(JOB_NAME, spec(ImageGb=5.0), 1, 100.0, 60.0, 0.0007, None)._replace(
+        **fields
+    )
 
 
-def chosen(item: SpillCandidate, *pools: PoolState, room: int = 8) -> list[str]:
-    target = {"dublin": SpillTarget(PoolEstimator(pools), room)}
+def move_reasons(item: SpillCandidate, *pools: PoolState, max_offers: int = 8) -> list[str]:
+    """Return the reasons of the moves chosen for a job, with one other cell of these pools."""
+    target = {"dublin": SpillTarget(PoolEstimator(pools), max_offers)}
     return [choice.reason for choice in choose_moves([item], target, config().spill, 0.0005)]
 
 
-def test_a_job_moves_only_for_more_than_the_move_costs() -> None:
-    assert chosen(candidate(), pool())
-    # Three seconds for the handover, ten for the image, and twenty that operators ask for.
-    assert chosen(candidate(home_wait_s=33.5), pool())
-    assert not chosen(candidate(home_wait_s=32.5), pool())
-    assert not chosen(candidate(), pool(free_slots=0.0, freed_slots_per_s=0.0))
-    assert not chosen(candidate(), pool(), room=0)
+def test_a_job_moves_only_if_it_gains_more_than_the_move_costs() -> None:
+    assert move_reasons(candidate(), pool())
+    # A move costs 3 s for the handover and 10 s for the image, and has to gain 20 s (settings).
+    assert move_reasons(candidate(home_wait_s=33.5), pool())
+    assert not move_reasons(candidate(home_wait_s=32.5), pool())
+    assert not move_reasons(candidate(), pool(free_slots=0.0, freed_slots_per_s=0.0))
+    assert not move_reasons(candidate(), pool(), max_offers=0)
 
 
-def test_a_dearer_slot_has_to_be_worth_it() -> None:
-    dear = pool(price_per_slot_s=0.0017)
-    assert move_cost_s(candidate(), PoolEstimator([dear]), 0, 0.0005) == pytest.approx(
+def test_a_more_expensive_slot_is_used_only_for_a_gain_that_exceeds_its_price() -> None:
+    expensive = pool(price_per_slot_s=0.0017)
+    assert move_cost_s(candidate(), PoolEstimator([expensive]), 0, 0.0005) == pytest.approx(
         13 + 120, rel=0.01
     )
-    assert not chosen(candidate(), dear)
-    assert chosen(candidate(home_wait_s=160.0), dear)
+    assert not move_reasons(candidate(), expensive)
+    assert move_reasons(candidate(home_wait_s=160.0), expensive)
 
 
-def test_a_deadline_that_is_missed_here_and_met_there_decides() -> None:
-    short = candidate(home_wait_s=25.0, deadline_in_s=80.0)
-    assert chosen(short, pool()) == ["its deadline would be missed here"]
-    assert not chosen(candidate(home_wait_s=25.0, deadline_in_s=200.0), pool())
-    assert not chosen(candidate(home_wait_s=25.0, deadline_in_s=50.0), pool())  # missed there too
-    assert not chosen(
+def test_a_job_moves_if_only_the_other_cell_meets_its_deadline() -> None:
+    urgent = candidate(home_wait_s=25.0, deadline_in_s=80.0)
+    assert move_reasons(urgent, pool()) == ["its deadline would be missed here"]
+    assert not move_reasons(candidate(home_wait_s=25.0, deadline_in_s=200.0), pool())
+    # Missed there too.
+    assert not move_reasons(candidate(home_wait_s=25.0, deadline_in_s=50.0), pool())
+    assert not move_reasons(
         candidate(home_wait_s=10.0, deadline_in_s=65.0), pool()
-    )  # the move costs more
+    )  # the move costs more than it gains
 
 
 @pytest.mark.parametrize(
     "fields",
     [{"Site": "elsewhere"}, {"Builds": ["other"]}, {"Vcpus": 99.0}],
 )
-def test_a_job_tied_to_what_is_not_there_stays(fields: dict[str, Any]) -> None:
-    assert not chosen(candidate(spec=spec(**fields)), pool())
+def test_a_job_stays_if_the_other_cell_lacks_what_it_requires(fields: dict[str, Any]) -> None:
+    assert not move_reasons(candidate(spec=spec(**fields)), pool())
 
 
-def test_a_job_is_not_offered_again_where_it_just_came_back_from() -> None:
-    assert not chosen(candidate(excluded_cell="dublin"), pool())
-    assert chosen(candidate(excluded_cell="cork"), pool())
+def test_a_job_is_not_offered_to_the_cell_that_it_just_returned_from() -> None:
+    assert not move_reasons(candidate(excluded_cell="dublin"), pool())
+    assert move_reasons(candidate(excluded_cell="cork"), pool())
 
 
-def test_what_is_offered_fills_the_room_that_was_told() -> None:
+def test_offers_stay_within_the_reported_free_slots() -> None:
     jobs = [candidate(name=JobId(f"job-{n}"), task_count=4) for n in range(9)]
     target = {"dublin": SpillTarget(PoolEstimator([pool(freed_slots_per_s=0.0)]), 8)}
-    assert len(choose_moves(jobs, target, config().spill, 0.0005)) == 2  # ten slots, four each
+    # Ten free slots, four tasks each.
+    assert len(choose_moves(jobs, target, config().spill, 0.0005)) == 2
 
 
-def test_expected_waits() -> None:
+def test_the_expected_wait_follows_from_free_queued_and_growing_slots() -> None:
     one = spec(Accelerators=2.0)
     assert estimate_wait_s(one, 4, pool()) == 0.0
     assert estimate_wait_s(one, 4, pool(free_slots=2.0)) == pytest.approx(12.0)
@@ -778,28 +847,29 @@
 # Measured waits
 
 
-def test_the_model_is_corrected_by_what_was_measured() -> None:
+def test_estimated_waits_are_corrected_by_measured_waits() -> None:
     view = View()
-    log = WaitTracker(view)
+    tracker = WaitTracker(view)
     for number in range(MIN_SAMPLES):
         name = JobId(f"job-{number}")
         view.store_record(records.job_key(name), JobRecord(spec(NameId=name), EPOCH), number + 1)
-        log.record_estimate(name, EPOCH, 9.0)
-        log.record_estimate(name, EPOCH + 5.0, 900.0)  # only the first word counts
+        tracker.record_estimate(name, EPOCH, 9.0)
+        tracker.record_estimate(name, EPOCH + 5.0, 900.0)  # only the first estimate counts
         entry = TaskEntry(0, records.PLACED, 1, "n0", "a", "i-1", 1)
         started = JobRecord(spec(NameId=name), EPOCH, entries=[entry])
         view.store_record(records.job_key(name), started, number + 1000)
-        assert log.correction_factor == 1.0
-    log.record_started_jobs(MonotonicTime(100.0), EPOCH + 19.0)
-    assert log.correction_factor == pytest.approx(2.0)
-    summary = decode_summary(log.encode_histogram())
+        assert tracker.correction_factor == 1.0
+    tracker.record_started_jobs(MonotonicTime(100.0), EPOCH + 19.0)
+    assert tracker.correction_factor == pytest.approx(2.0)
+    summary = decode_summary(tracker.encode_histogram())
     assert summary is not None
     assert summary.total == MIN_SAMPLES
     assert summary.median == pytest.approx(19.0, rel=0.02)
-    log.record_estimate(JobId("job-0"), EPOCH + 20.0, 50.0)  # it has tasks left, and has started
-    assert not log.estimates
+    # Ignored: the job has tasks left but has started.
+    tracker.record_estimate(JobId("job-0"), EPOCH + 20.0, 50.0)
+    assert not tracker.estimates
 
 
 @pytest.mark.parametrize("raw", [b"x", b"HISTFAAAAA", bytes(200)])
-def test_what_is_no_histogram_is_not_shown(raw: bytes) -> None:
+def test_bytes_that_are_no_histogram_have_no_summary(raw: bytes) -> None:
     assert decode_summary(raw) is None
