--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,7 +1,7 @@
-"""Jobs that spill between cells, and the failures that could lose or double them.
+"""Handover of jobs between simulated cells, under failures that could lose or double them.
 
-Each test makes its failure happen and asserts that it did. The world checks the protocol's
-rules at every start and answer, across all cells.
+Each test causes a failure and asserts that it occurred. The simulated world checks the
+protocol's invariants across all cells, at every task start and every answer.
 """
 
 from collections.abc import Callable
@@ -15,55 +15,67 @@
 
 GRANT_S = 12.0
 SETTLE_S = 3.0
-# Until a lost cell's jobs are home again: the grant, the workers' lease, and the margins.
-LOST_S = GRANT_S + TIMING["lease_s"] + 8.0
-MOST_S = 260.0
+# Until the jobs of a lost cell are home again: the grant, the workers' lease and the margins.
+RETURN_LIMIT_S = GRANT_S + TIMING["lease_s"] + 8.0
+END_LIMIT_S = 260.0
 
 
-def overloaded(seed: int = 1, jobs: int = 20, run_s: float = 20.0, **fields: Any) -> CellsWorld:
-    """East has twelve machines and work for eighty; the others are empty."""
+def overloaded_world(
+    seed: int = 1, jobs: int = 20, run_s: float = 20.0, **fields: Any
+) -> CellsWorld:
+    """Return a world after 5 s in which east has more work than machines.
+
+    East has twelve machines and, by default, work for eighty (20 arrays that take four whole
+    machines each); the other cells are empty.
+    """
     world = CellsWorld(seed, grant_s=GRANT_S, **fields)
     world.run(5.0)
     world.submit_many("east", jobs, run_s)
     return world
 
 
-def guest_cell(world: CellsWorld, stage: GuestStage) -> CellFleet | None:
-    """A cell that has a guest in this stage."""
-    found = (world[name] for name in NAMES[1:])
-    return next((fleet for fleet in found if stage in fleet.guests().values()), None)
+def find_guest_cell(world: CellsWorld, stage: GuestStage) -> CellFleet | None:
+    """Return a cell that has a guest in this stage, or None."""
+    other_cells = (world[name] for name in NAMES[1:])
+    return next((fleet for fleet in other_cells if stage in fleet.guests().values()), None)
 
 
-def reach(world: CellsWorld, stage: GuestStage) -> CellFleet:
-    """Run until a cell has a guest in this stage."""
-    world.run_until(lambda: guest_cell(world, stage) is not None, 60.0)
-    found = guest_cell(world, stage)
-    assert found is not None
-    return found
+def run_until_guest(world: CellsWorld, stage: GuestStage) -> CellFleet:
+    """Run until a cell other than east has a guest in this stage, and return it."""
+    world.run_until(lambda: find_guest_cell(world, stage) is not None, 60.0)
+    fleet = find_guest_cell(world, stage)
+    assert fleet is not None
+    return fleet
 
 
-def guests_running(world: CellsWorld) -> int:
-    """Tasks of east's jobs on other cells' machines."""
-    east = set(world["east"].workers.values())
-    return sum(worker not in east for worker, _ in world.on.values())
+def count_guest_tasks(world: CellsWorld) -> int:
+    """Return how many tasks run on the machines of cells other than east."""
+    east_workers = set(world["east"].workers.values())
+    return sum(worker not in east_workers for worker, _ in world.on.values())
 
 
-def all_end(world: CellsWorld) -> None:
-    """Every job ends, once, and nothing of a handover is left over."""
-    world.run_until(lambda: not world.unfinished(), MOST_S)
+def assert_all_end(world: CellsWorld) -> None:
+    """Run until every job has ended, once, and no trace of a handover is left."""
+    world.run_until(lambda: not world.unfinished(), END_LIMIT_S)
     assert all(job.complete() for job in world.jobs.values() if job.told == "done")
-    left = [name for name in NAMES if not world[name].vanished]
-    world.run_until(lambda: not any(world[name].guests() for name in left), MOST_S)
-    assert not any(world[name].stages_away() for name in left)
+    remaining_cells = [name for name in NAMES if not world[name].vanished]
+    world.run_until(lambda: not any(world[name].guests() for name in remaining_cells), END_LIMIT_S)
+    assert not any(world[name].stages_away() for name in remaining_cells)
+
 
+def test_an_overloaded_cell_spills_jobs_and_polls_name_the_guest_cell() -> None:
+    """Guards against jobs that wait in a full cell while others are empty.
 
-def test_an_overloaded_cell_spills_and_its_users_are_told_where() -> None:
-    world = overloaded()
-    reach(world, GuestStage.GRANTED)
-    away = [name for name, stage in world["east"].stages_away().items()]
+    Also guards against polls that hide from users in which cell their jobs are.
+    """
+    world = overloaded_world()
+    run_until_guest(world, GuestStage.GRANTED)
+    delegated = [name for name, stage in world["east"].stages_away().items()]
     answers: list[Any] = []
     for node in range(3):
-        world["east"].request(node, lambda c, t: c.poll(away[0], t), answers.append, lambda: True)
+        world["east"].request(
+            node, lambda core, ticket: core.poll(delegated[0], ticket), answers.append, lambda: True
+        )
     world.run(world.now + 2.0)
     assert len(answers) == 3
     for answer in answers:
@@ -72,225 +84,276 @@
         assert any(f"in cell {name}" in answer.body["why"] for name in ("north", "west"))
     leader = world["east"].leader()
     assert leader is not None
-    shown = leader.core.health_status()["cells"]
-    assert set(away) & {moved["job"] for moved in shown["moved"]}
-    assert any(line["line"].startswith(f"grant {away[0]}, cell") for line in shown["decisions"])
-    all_end(world)
+    cells_health = leader.core.health_status()["cells"]
+    assert set(delegated) & {moved["job"] for moved in cells_health["moved"]}
+    assert any(
+        line["line"].startswith(f"grant {delegated[0]}, cell") for line in cells_health["decisions"]
+    )
+    assert_all_end(world)
     assert world.count("finished") >= 3
     assert world.count("finished") == world.count("granted")
 
 
-def test_without_an_overload_nothing_is_moved() -> None:
-    world = overloaded(capacity={"east": 120})
-    all_end(world)
+def test_a_cell_with_enough_machines_offers_no_job() -> None:
+    """Guards against moves that gain nothing because home can rent enough machines itself."""
+    world = overloaded_world(capacity={"east": 120})
+    assert_all_end(world)
     assert world.count("offered") == 0
 
 
 @pytest.mark.parametrize("stage", [GuestStage.RESERVED, GuestStage.GRANTED])
-def test_a_guest_cell_that_vanishes_loses_no_job_and_runs_none_twice(stage: GuestStage) -> None:
-    """Lost before the grant: back at once. After it: once no grant can hold any more."""
-    world = overloaded()
-    fleet = reach(world, stage)
+def test_jobs_of_a_vanished_guest_cell_return_home_and_run_once(stage: GuestStage) -> None:
+    """Guards against jobs that are lost with their guest cell or run twice.
+
+    Before the grant a job may return at once; afterwards only once its grant must have expired.
+    """
+    world = overloaded_world()
+    fleet = run_until_guest(world, stage)
     names = [name for name, at in fleet.guests().items() if at == stage]
     fleet.vanish()
-    all_end(world)
+    assert_all_end(world)
     assert names
     assert world.count("returned") >= len(names)
 
 
-def test_a_cell_that_vanishes_before_it_answers_an_offer() -> None:
-    world = overloaded()
+def test_an_offer_to_a_vanished_cell_is_withdrawn() -> None:
+    """Guards against jobs that wait for ever for the answer of a cell that has vanished."""
+    world = overloaded_world()
     offered = DelegationStage.OFFERED
     world.run_until(lambda: offered in world["east"].stages_away().values(), 60.0)
-    targets = {
-        j.delegation.guest_cell
-        for j in world["east"].records().values()
-        if j.is_delegated and j.delegation
+    offered_cells = {
+        job.delegation.guest_cell
+        for job in world["east"].records().values()
+        if job.is_delegated and job.delegation
     }
-    for name in targets:
+    for name in offered_cells:
         assert not world[name].guests()
         world[name].vanish()
-    all_end(world)
+    assert_all_end(world)
     assert world.count("unanswered") >= 1
 
 
-def test_half_an_array_is_done_when_its_cell_vanishes() -> None:
-    """What was done there unheard is repeated, as with a lost machine; nothing else is."""
-    world = overloaded(run_s=30.0)
-    reach(world, GuestStage.GRANTED)
+def test_a_half_done_array_is_completed_at_home_after_its_cell_vanishes() -> None:
+    """Guards against arrays that are lost, or taken back while their tasks may still run.
+
+    Tasks whose completion was not reported are repeated, as with a lost machine; no others are.
+    """
+    world = overloaded_world(run_s=30.0)
+    run_until_guest(world, GuestStage.GRANTED)
 
     def half_done(fleet: CellFleet) -> list[str]:
         return [name for name in fleet.guests() if 0 < len(world.jobs[name].done) < 4]
 
-    world.run_until(lambda: any(half_done(world[n]) for n in ("north", "west")), 90.0)
+    world.run_until(lambda: any(half_done(world[name]) for name in ("north", "west")), 90.0)
     fleet = next(world[name] for name in ("north", "west") if half_done(world[name]))
-    halves = half_done(fleet)
+    half_done_names = half_done(fleet)
     fleet.vanish()
     world.run(world.now + GRANT_S)
-    assert set(halves) <= world["east"].away_at(fleet.name)  # no proof yet
-    world.run_until(lambda: not set(halves) & world["east"].away_at(fleet.name), LOST_S)
-    all_end(world)
-    assert world.count("lost") >= len(halves)
+    assert set(half_done_names) <= world["east"].away_at(fleet.name)  # the grant may still be valid
+    world.run_until(
+        lambda: not set(half_done_names) & world["east"].away_at(fleet.name), RETURN_LIMIT_S
+    )
+    assert_all_end(world)
+    assert world.count("lost") >= len(half_done_names)
 
 
-def test_a_cell_vanishes_after_the_last_task_and_before_its_word() -> None:
-    world = overloaded()
-    reach(world, GuestStage.GRANTED)
+def test_a_job_whose_cell_vanishes_before_it_reports_the_end_is_repeated() -> None:
+    """Guards against jobs that never end because their completion was not reported.
 
-    def finished_unheard(fleet: CellFleet) -> list[str]:
-        return [n for n in fleet.guests() if world.jobs[n].complete() and not world.jobs[n].over()]
+    The cell vanishes after the last task has ended and before its next frame to home.
+    """
+    world = overloaded_world()
+    run_until_guest(world, GuestStage.GRANTED)
 
-    world.run_until(lambda: any(finished_unheard(world[n]) for n in ("north", "west")), 90.0)
-    fleet = next(world[name] for name in ("north", "west") if finished_unheard(world[name]))
-    names = finished_unheard(fleet)
+    def finished_unreported(fleet: CellFleet) -> list[str]:
+        return [
+            name
+            for name in fleet.guests()
+            if world.jobs[name].complete() and not world.jobs[name].over()
+        ]
+
+    world.run_until(
+        lambda: any(finished_unreported(world[name]) for name in ("north", "west")), 90.0
+    )
+    fleet = next(world[name] for name in ("north", "west") if finished_unreported(world[name]))
+    names = finished_unreported(fleet)
     fleet.vanish()
-    all_end(world)
+    assert_all_end(world)
     assert all(world.jobs[name].told == "done" for name in names)
     assert world.count("lost") >= len(names)
 
 
-def test_the_home_cell_loses_its_state_service_while_its_jobs_run_elsewhere() -> None:
-    """No grant is renewed meanwhile, so the guests are stopped in time, and come back."""
-    world = overloaded(run_s=60.0)
-    reach(world, GuestStage.GRANTED)
-    world.run_until(lambda: guests_running(world) >= 4, 60.0)
+def test_guests_stop_and_return_when_the_state_service_of_home_fails() -> None:
+    """Guards against guests that run on without a grant while home can write nothing.
+
+    Home renews no grant meanwhile, so the guest cells stop the jobs in time and return them.
+    """
+    world = overloaded_world(run_s=60.0)
+    run_until_guest(world, GuestStage.GRANTED)
+    world.run_until(lambda: count_guest_tasks(world) >= 4, 60.0)
     world["east"].outage_until = world.now + 60.0
     world.run(world.now + GRANT_S + TIMING["lease_s"] + 1.0)
-    assert guests_running(world) == 0
-    all_end(world)
+    assert count_guest_tasks(world) == 0
+    assert_all_end(world)
     assert world.count("returned") >= 1
 
 
-def test_the_home_cell_vanishes_and_its_guests_end_with_the_grant() -> None:
-    world = overloaded(run_s=200.0)
-    reach(world, GuestStage.GRANTED)
-    world.run_until(lambda: guests_running(world) >= 4, 60.0)
+def test_guests_of_a_vanished_home_cell_stop_when_the_grant_expires() -> None:
+    """Guards against guests that run on after their home cell has vanished."""
+    world = overloaded_world(run_s=200.0)
+    run_until_guest(world, GuestStage.GRANTED)
+    world.run_until(lambda: count_guest_tasks(world) >= 4, 60.0)
     world["east"].vanish()
     world.run(world.now + GRANT_S + TIMING["lease_s"] + 1.0)
-    assert guests_running(world) == 0
+    assert count_guest_tasks(world) == 0
     world.run(world.now + 10.0)
     for name in ("north", "west"):
-        # Kept until the home cell, or an operator, says that it may go.
+        # Kept until the home cell or an operator allows the deletion.
         assert set(world[name].guests().values()) <= {GuestStage.RELEASED}
 
 
-def test_guests_end_with_the_grant_also_without_a_state_service() -> None:
-    """Nobody can write anything then, and workers' leases are renewed for long after."""
-    world = overloaded(run_s=200.0)
-    fleet = reach(world, GuestStage.GRANTED)
-    world.run_until(lambda: guests_running(world) >= 4, 60.0)
+def test_guests_stop_when_the_grant_expires_without_a_state_service() -> None:
+    """Guards against guests that outlive their grant because their cell can write nothing.
+
+    Its controllers keep renewing the leases of the workers for long after the grant has expired.
+    """
+    world = overloaded_world(run_s=200.0)
+    fleet = run_until_guest(world, GuestStage.GRANTED)
+    world.run_until(lambda: count_guest_tasks(world) >= 4, 60.0)
     for name in ("north", "west"):
         world.cut_links("east", name, 1e9)
         world[name].outage_until = world.now + 100.0
     world.run(world.now + GRANT_S + TIMING["lease_s"] + 1.0)
-    assert guests_running(world) == 0
-    assert fleet.leader() is None  # nobody could decide
+    assert count_guest_tasks(world) == 0
+    assert fleet.leader() is None  # no leader could stop the guests
 
 
 @pytest.mark.parametrize("stage", [GuestStage.RESERVED, GuestStage.GRANTED, GuestStage.FINISHED])
 @pytest.mark.parametrize("side", ["home", "guest"])
-def test_a_leader_ends_at_each_step(stage: GuestStage, side: str) -> None:
-    world = overloaded()
-    fleet = reach(world, stage)
+def test_a_handover_continues_after_its_leader_is_replaced(stage: GuestStage, side: str) -> None:
+    """Guards against handovers that stop half way.
+
+    The leader of the home or the guest cell ends at one of the stages; its successor goes on.
+    """
+    world = overloaded_world()
+    fleet = run_until_guest(world, stage)
     node = (world["east"] if side == "home" else fleet).leader()
     assert node is not None
     node.stop()
     world.run(world.now + 4.0)
     assert world["east"].leader() is not None
     node.start()
-    all_end(world)
+    assert_all_end(world)
+
 
+def test_a_delayed_reservation_has_no_effect_after_the_offer_was_withdrawn() -> None:
+    """Guards against a job that is granted to two cells.
 
-def test_a_delayed_acceptance_comes_after_another_cell_was_granted() -> None:
-    """North reserves and is not heard; the job goes to west, then north's word arrives."""
-    world = overloaded(capacity={"west": 0, "north": 60})
-    world.cut[("north", "east")] = 1e9  # heard until then only as far as offers need
+    North's frames are cut off while it reserves the job, and arrive after home has withdrawn the
+    offer and could offer the job to west.
+    """
+    world = overloaded_world(capacity={"west": 0, "north": 60})
+    world.cut[("north", "east")] = 1e9  # cleared at once: frames have to arrive until the offer
     world.cut.clear()
     world.run_until(lambda: world["east"].stages_away() != {}, 60.0)
     world.cut[("north", "east")] = world.now + 25.0
     world.run_until(lambda: GuestStage.RESERVED in world["north"].guests().values(), 5.0)
     names = set(world["north"].guests())
     world.run(world.now + 8.0)
-    assert not names & world["east"].away_at("north")  # taken back: no answer
-    all_end(world)
+    assert not names & world["east"].away_at("north")  # returned home: no answer arrived
+    assert_all_end(world)
     assert world.count("unanswered") >= len(names)
 
 
-def test_copies_of_frames_late_and_in_another_order_change_nothing() -> None:
-    world = overloaded(seed=3)
+def test_duplicate_delayed_and_reordered_frames_have_no_effect() -> None:
+    """Guards against outdated frames that undo or repeat a step of a handover."""
+    world = overloaded_world(seed=3)
     world.copied, world.slow = 0.3, 0.2
-    all_end(world)
+    assert_all_end(world)
     assert world.copies > 50
     assert world.count("finished") >= 3
 
 
-@pytest.mark.parametrize("heard", [True, False])
-def test_a_link_cut_in_one_direction(heard: bool) -> None:
-    """A cell that is heard but does not hear, and one that hears but is not heard."""
-    world = overloaded(run_s=40.0)
-    fleet = reach(world, GuestStage.GRANTED)
+@pytest.mark.parametrize("frames_of_home_cut", [True, False])
+def test_jobs_return_home_when_a_link_fails_in_one_direction(frames_of_home_cut: bool) -> None:
+    """Guards against guests kept for ever by a cell that is reachable in one direction only.
+
+    Either frames from home arrive and no answer gets back, or the reverse.
+    """
+    world = overloaded_world(run_s=40.0)
+    fleet = run_until_guest(world, GuestStage.GRANTED)
     names = set(fleet.guests())
-    one, other = ("east", fleet.name) if heard else (fleet.name, "east")
-    world.cut[(one, other)] = world.now + 50.0
+    sender, recipient = ("east", fleet.name) if frames_of_home_cut else (fleet.name, "east")
+    world.cut[(sender, recipient)] = world.now + 50.0
     world.run_until(lambda: not names & world["east"].away_at(fleet.name), 50.0)
-    all_end(world)
+    assert_all_end(world)
     assert world.count("returned") >= len(names)
 
 
-def test_a_cell_that_stalls_past_its_grant_and_goes_on() -> None:
-    world = overloaded(run_s=60.0)
-    fleet = reach(world, GuestStage.GRANTED)
-    world.run_until(lambda: guests_running(world) >= 2, 60.0)
+def test_jobs_of_a_cell_that_stalls_past_its_grant_run_once() -> None:
+    """Guards against tasks that run twice.
+
+    All controllers of the guest cell stall until home has taken the jobs back, then continue.
+    """
+    world = overloaded_world(run_s=60.0)
+    fleet = run_until_guest(world, GuestStage.GRANTED)
+    world.run_until(lambda: count_guest_tasks(world) >= 2, 60.0)
     names = set(fleet.guests())
-    stall = GRANT_S + TIMING["lease_s"] + 15.0
+    stall_s = GRANT_S + TIMING["lease_s"] + 15.0
     for node in fleet.nodes:
-        node.frozen_until = world.now + stall
-    world.run(world.now + stall - 1.0)
-    assert not names & world["east"].away_at(fleet.name)  # taken back while it stood still
-    all_end(world)
+        node.frozen_until = world.now + stall_s
+    world.run(world.now + stall_s - 1.0)
+    assert not names & world["east"].away_at(fleet.name)  # returned home during the stall
+    assert_all_end(world)
     assert world.count("lost") >= len(names)
 
 
-def steps() -> list[tuple[str, Callable[[CellsWorld], bool]]]:
-    """The steps of a handover at which a user may cancel."""
+def handover_steps() -> list[tuple[str, Callable[[CellsWorld], bool]]]:
+    """Return the name and the test of each handover step at which a job is cancelled."""
     return [
-        ("offered", lambda w: DelegationStage.OFFERED in w["east"].stages_away().values()),
-        ("reserved", lambda w: guest_cell(w, GuestStage.RESERVED) is not None),
-        ("granted", lambda w: DelegationStage.GRANTED in w["east"].stages_away().values()),
-        ("running", lambda w: DelegationStage.RUNNING in w["east"].stages_away().values()),
-        ("finished", lambda w: guest_cell(w, GuestStage.FINISHED) is not None),
+        ("offered", lambda world: DelegationStage.OFFERED in world["east"].stages_away().values()),
+        ("reserved", lambda world: find_guest_cell(world, GuestStage.RESERVED) is not None),
+        ("granted", lambda world: DelegationStage.GRANTED in world["east"].stages_away().values()),
+        ("running", lambda world: DelegationStage.RUNNING in world["east"].stages_away().values()),
+        ("finished", lambda world: find_guest_cell(world, GuestStage.FINISHED) is not None),
     ]
 
 
 @pytest.mark.parametrize("reachable", [True, False], ids=["reachable", "cut off"])
 @pytest.mark.parametrize("step", range(5))
-def test_a_job_is_cancelled_at_home_at_each_step(step: int, reachable: bool) -> None:
-    """Confirmed as ever, and gone within `cancel_s`, also where its cell can't be reached.
+def test_a_delegated_job_that_is_cancelled_stops_within_cancel_s(
+    step: int, reachable: bool
+) -> None:
+    """Guards against tasks that run on in another cell after a confirmed cancellation.
 
-    The world checks at `cancel_s` after each confirmation that no task is left.
+    The cancellation comes at each handover step, also while the guest cell is unreachable.
+    The world checks `cancel_s` after each confirmation that no task is left.
     """
-    world = overloaded(run_s=30.0 if step < 4 else 10.0)
-    _, reached = steps()[step]
-    world.run_until(lambda: reached(world), 90.0)
-    away = set(world["east"].stages_away())
+    world = overloaded_world(run_s=30.0 if step < 4 else 10.0)
+    _, is_reached = handover_steps()[step]
+    world.run_until(lambda: is_reached(world), 90.0)
+    delegated = set(world["east"].stages_away())
     if not reachable:
         for name in ("north", "west"):
             world.cut_links("east", name, 100.0)
-    for name in away:
+    for name in delegated:
         world["east"].call_off(world.jobs[name], world["east"].nodes[0])
     world.run(world.now + 2.0)
-    assert away
-    assert all(world.jobs[name].told in ("cancelled", "done") for name in away)
+    assert delegated
+    assert all(world.jobs[name].told in ("cancelled", "done") for name in delegated)
     world.run(world.now + TIMING["cancel_s"] + 1.0)
-    assert not {task.job.name for _, task in world.on.values()} & away
-    all_end(world)
+    assert not {task.job.name for _, task in world.on.values()} & delegated
+    assert_all_end(world)
 
 
-def test_grants_are_not_renewed_past_a_cancellation_that_was_not_heard() -> None:
-    """A cell that is cut off just after a cancellation holds no grant for longer than planned."""
-    world = overloaded(run_s=100.0)
-    fleet = reach(world, GuestStage.GRANTED)
-    world.run_until(lambda: guests_running(world) >= 4, 60.0)
+def test_a_grant_is_not_renewed_past_an_undelivered_cancellation() -> None:
+    """Guards against a grant that is renewed for a cancelled job.
+
+    The guest cell is cut off just after the cancellation and must stop within `cancel_s`.
+    """
+    world = overloaded_world(run_s=100.0)
+    fleet = run_until_guest(world, GuestStage.GRANTED)
+    world.run_until(lambda: count_guest_tasks(world) >= 4, 60.0)
     name = next(iter(fleet.guests()))
     world["east"].call_off(world.jobs[name], world["east"].nodes[1])
     world.run_until(lambda: world.jobs[name].told == "cancelled", 3.0)
@@ -301,14 +364,17 @@
     assert world.now - cancelled_at < TIMING["cancel_s"]
 
 
-def test_when_every_cell_is_full_nothing_circulates() -> None:
-    """A job may move once towards the shorter queue; it does not go round."""
+def test_jobs_do_not_circulate_when_every_cell_is_full() -> None:
+    """Guards against jobs that are passed from cell to cell without ever running.
+
+    A job may move once towards a shorter queue; it must not move in circles.
+    """
     world = CellsWorld(2, capacity=dict.fromkeys(NAMES, 8), grant_s=GRANT_S)
     world.run(5.0)
-    for at, cell in enumerate(NAMES):
-        world.submit_many(cell, 14, 20.0, first=100 * at)
+    for cell_index, cell in enumerate(NAMES):
+        world.submit_many(cell, 14, 20.0, first=100 * cell_index)
     world.run(world.now + 60.0)
-    early = world.count("offered")
+    early_offers = world.count("offered")
     for fleet in world.fleets.values():
         node = fleet.leader()
         assert node is not None
@@ -316,59 +382,68 @@
         assert waiting
         assert all(node.core.leader.waiting_reasons.get(name) for name in waiting)
         for record in fleet.records().values():
-            assert record.guest is None or record.delegation is None  # no guest is passed on
+            # No guest is delegated further.
+            assert record.guest is None or record.delegation is None
     epochs = [
         record.delegation.epoch
         for fleet in world.fleets.values()
         for record in fleet.records().values()
         if record.delegation
     ]
-    all_end(world)
-    # In the first seconds all believe that they can still rent machines.
+    assert_all_end(world)
+    # In the first seconds every cell still expects to rent further machines.
     assert world.count("granted") <= 42 / 3
-    assert world.count("offered") - early <= 4
+    assert world.count("offered") - early_offers <= 4
     assert max(epochs, default=0) <= 2  # at most once to each other cell
 
 
-def test_a_cell_that_comes_back_empty_does_not_draw_all_work() -> None:
-    world = overloaded(jobs=60, capacity={"west": 0, "north": 0})
-    # Both believe that they can rent machines, until their cloud has none.
+def test_a_cell_that_becomes_empty_is_offered_a_few_jobs_at_a_time() -> None:
+    """Guards against one cell that attracts all waiting jobs.
+
+    Its reported free slots lag behind, so at most 8 offers to it may be unanswered.
+    """
+    world = overloaded_world(jobs=60, capacity={"west": 0, "north": 0})
+    # Both expect to rent machines until their cloud has refused.
     world.run(world.now + 90.0)
     assert not any(world[name].guests() for name in ("north", "west"))
     assert world.count("returned") >= 1
     world["north"].capacity = dict.fromkeys(world["north"].capacity, 40)
-    most = 0
+    max_open_offers = 0
     for _ in range(200):
         world.run(world.now + 0.5)
-        offers = list(world["east"].stages_away().values()).count(DelegationStage.OFFERED)
-        most = max(most, offers)
-    assert 1 <= most <= 8
+        open_offers = list(world["east"].stages_away().values()).count(DelegationStage.OFFERED)
+        max_open_offers = max(max_open_offers, open_offers)
+    assert 1 <= max_open_offers <= 8
     assert len(world["east"].stages_away()) < 30
-    all_end(world)
+    assert_all_end(world)
 
 
-def test_a_cell_with_guests_keeps_its_own_jobs() -> None:
-    """Seen: two full cells exchanged their jobs, which then waited behind each other's own."""
-    world = overloaded(jobs=30, run_s=40.0, capacity={"north": 16, "west": 0})
+def test_a_cell_with_guests_does_not_offer_its_own_jobs() -> None:
+    """Guards against two full cells that exchange their jobs.
+
+    The exchanged jobs would then wait behind the other cell's own jobs.
+    """
+    world = overloaded_world(jobs=30, run_s=40.0, capacity={"north": 16, "west": 0})
     world.run_until(lambda: GuestStage.GRANTED in world["north"].guests().values(), 60.0)
     world.submit_many("north", 12, 40.0, first=100)
-    held = 0
+    steps_with_both = 0
     while world["north"].guests() and world.now < 200.0:
         world.run(world.now + 0.5)
-        held += bool(world["north"].guests()) and bool(world["north"].records())
+        steps_with_both += bool(world["north"].guests()) and bool(world["north"].records())
         open_offers = [
             name
             for name, stage in world["north"].stages_away().items()
             if stage == DelegationStage.OFFERED
         ]
         assert not (open_offers and set(world["north"].guests().values()) & {GuestStage.GRANTED})
-    assert held > 20
-    all_end(world)
+    assert steps_with_both > 20
+    assert_all_end(world)
 
 
-def test_a_reservation_is_not_kept_for_a_home_cell_that_vanished() -> None:
-    world = overloaded()
-    fleet = reach(world, GuestStage.RESERVED)
+def test_a_reservation_for_a_vanished_home_cell_is_removed() -> None:
+    """Guards against slots that stay reserved for a home cell that never grants the job."""
+    world = overloaded_world()
+    fleet = run_until_guest(world, GuestStage.RESERVED)
     names = {name for name, at in fleet.guests().items() if at == GuestStage.RESERVED}
     world["east"].vanish()
     world.run(world.now + 40.0)
@@ -376,27 +451,34 @@
     assert not names & set(fleet.guests())
 
 
-def test_what_needs_a_job_starts_once_that_is_done_in_another_cell() -> None:
-    """The world checks at each start that all that a job needs is done."""
-    world = overloaded()
-    reach(world, GuestStage.GRANTED)
-    needs = sorted(world["east"].stages_away())[:3]
-    world["east"].submit("job-900", 5.0, Prereqs=needs)
+def test_a_job_starts_after_prerequisites_that_ran_in_another_cell() -> None:
+    """Guards against jobs that start before prerequisites in another cell are done, or never.
+
+    The world checks at each start that all prerequisites of the job are done.
+    """
+    world = overloaded_world()
+    run_until_guest(world, GuestStage.GRANTED)
+    prerequisites = sorted(world["east"].stages_away())[:3]
+    world["east"].submit("job-900", 5.0, Prereqs=prerequisites)
     world.run(world.now + 3.0)
-    assert not any(world.jobs[name].over() for name in needs)
-    all_end(world)
+    assert not any(world.jobs[name].over() for name in prerequisites)
+    assert_all_end(world)
     assert world.jobs["job-900"].told == "done"
 
 
-def test_a_draining_cell_takes_no_guests_and_offers_nothing() -> None:
-    world = overloaded(spill={"draining": True})
+def test_a_draining_cell_refuses_guests_and_makes_no_offers() -> None:
+    """Guards against jobs that are handed over to or from a cell that operators drain."""
+    world = overloaded_world(spill={"draining": True})
     world.run(world.now + 60.0)
     assert world.count("offered") == 0
     assert not any(fleet.guests() for fleet in world.fleets.values())
 
 
-def test_controllers_of_one_cell_that_differ_wait_for_each_other() -> None:
-    """One of east's controllers has no file: nothing is written that it would not look for."""
+def test_nothing_is_offered_until_all_controllers_have_the_cells_file() -> None:
+    """Guards against handover records that a controller of the cell does not look for.
+
+    One of east's controllers has no cells file, so nothing may be written until it has one.
+    """
     world = CellsWorld(1, grant_s=GRANT_S)
     world.without_file["east"] = {"n2"}
     world["east"].nodes[2].stop()
@@ -409,11 +491,12 @@
     world.without_file.clear()
     world["east"].nodes[2].stop()
     world["east"].nodes[2].start()
-    all_end(world)
+    assert_all_end(world)
     assert world.count("offered") >= 1
 
 
-def test_a_cell_without_the_file_is_just_not_there() -> None:
+def test_a_cell_without_the_cells_file_gets_no_guests() -> None:
+    """Guards against a cell without the file that keeps the others from exchanging jobs."""
     world = CellsWorld(1, grant_s=GRANT_S)
     world.without_file["north"] = {"n0", "n1", "n2"}
     for node in world["north"].nodes:
@@ -422,55 +505,63 @@
     world["north"].parts.clear()
     world.run(5.0)
     world.submit_many("east", 20, 20.0)
-    all_end(world)
+    assert_all_end(world)
     assert not world["north"].guests()
     assert world.count("finished") >= 3
 
 
-def test_a_job_that_waits_for_its_teams_limit_stays() -> None:
-    """It would count against the limit elsewhere as well; the world checks it over all cells."""
+def test_a_job_that_waits_for_its_teams_limit_is_not_offered() -> None:
+    """Guards against moves that gain nothing.
+
+    The job counts against the limit elsewhere too; the world checks the limit over all cells.
+    """
     teams = [{"name": "red", "gpus_max": 16.0}]
     world = CellsWorld(1, teams=teams, grant_s=GRANT_S)
     world.run(5.0)
     world.submit_many("east", 12, 20.0, Owner="red")
-    all_end(world)
+    assert_all_end(world)
     assert world.count("offered") == 0
 
 
-def test_a_team_that_is_unknown_elsewhere_stays_and_is_told_so() -> None:
-    other = [{"name": "red", "gpus_max": 16.0}]
-    world = overloaded(teams_of={"north": other, "west": other})
+def test_a_job_of_a_team_unknown_elsewhere_stays_with_the_reason() -> None:
+    """Guards against jobs that run outside their limits in a cell that does not know their team."""
+    other_teams = [{"name": "red", "gpus_max": 16.0}]
+    world = overloaded_world(teams_of={"north": other_teams, "west": other_teams})
     world.run(world.now + 30.0)
     assert world.count("refused") >= 1
-    whys = [
+    reasons = [
         record.delegation.why for record in world["east"].records().values() if record.delegation
     ]
-    assert any("team blue is not known here" in why for why in whys)
+    assert any("team blue is not known here" in why for why in reasons)
     assert not any(world[name].guests() for name in ("north", "west"))
-    all_end(world)
+    assert_all_end(world)
+
 
+def test_polls_and_cancellations_of_a_guest_name_its_home_cell() -> None:
+    """Guards against two cells that answer for one job.
 
-def test_a_polled_guest_is_its_homes_to_answer() -> None:
-    world = overloaded()
-    fleet = reach(world, GuestStage.GRANTED)
+    Only home can confirm a status or a cancellation; the guest cell answers 404 and names it.
+    """
+    world = overloaded_world()
+    fleet = run_until_guest(world, GuestStage.GRANTED)
     name = next(iter(fleet.guests()))
     answers: list[Any] = []
-    fleet.request(0, lambda c, t: c.poll(name, t), answers.append, lambda: True)
-    fleet.request(0, lambda c, t: c.cancel(name, t), answers.append, lambda: True)
+    fleet.request(0, lambda core, ticket: core.poll(name, ticket), answers.append, lambda: True)
+    fleet.request(0, lambda core, ticket: core.cancel(name, ticket), answers.append, lambda: True)
     world.run(world.now + 2.0)
     assert [answer.status for answer in answers] == [404, 404]
     assert all("cell east" in answer.body["error"] for answer in answers)
-    all_end(world)
+    assert_all_end(world)
 
 
-def troubles(world: CellsWorld) -> None:
-    """One of everything that may happen between and in cells, at a drawn moment."""
+def inject_fault(world: CellsWorld) -> None:
+    """Inject a random fault of one kind between or in cells."""
     rng = world.rng
     fleet = world[rng.choice(NAMES)]
-    one, other = rng.sample(NAMES, 2)
+    first_cell, second_cell = rng.sample(NAMES, 2)
     kind = rng.randrange(8)
     if kind == 0:
-        world.cut_links(one, other, rng.uniform(2.0, 40.0), both=rng.random() < 0.5)
+        world.cut_links(first_cell, second_cell, rng.uniform(2.0, 40.0), both=rng.random() < 0.5)
     elif kind == 1:
         node = rng.choice(fleet.nodes)
         if node.up:
@@ -495,28 +586,31 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_drawn_days_with_all_troubles(seed: int) -> None:
-    """Each job ends once, none is on two machines, no answer goes back, whatever happens."""
+    """Guards against handovers that random faults lose or double.
+
+    Each job ends once, none runs on two machines, and no poll goes back to an earlier status.
+    """
     world = CellsWorld(seed + 20, grant_s=GRANT_S)
     world.copied, world.slow = 0.1, 0.1
     rng = world.rng
     for number in range(36):
-        shape: dict[str, Any] = {"Pieces": rng.choice([1, 2, 4]), "Vcpus": 16.0}
-        shape |= {"Accelerators": 2.0, "Loaners": True, "ImageGb": 1.0}
+        fields: dict[str, Any] = {"Pieces": rng.choice([1, 2, 4]), "Vcpus": 16.0}
+        fields |= {"Accelerators": 2.0, "Loaners": True, "ImageGb": 1.0}
         if rng.random() < 0.3:
-            shape |= {"Shape": "ensemble", "Together": True}
-        cancel = rng.uniform(10.0, 60.0) if rng.random() < 0.25 else None
+            fields |= {"Shape": "ensemble", "Together": True}
+        cancel_after_s = rng.uniform(10.0, 60.0) if rng.random() < 0.25 else None
         run_s = rng.uniform(10.0, 40.0)
-        submit = partial(world["east"].submit, f"job-{number}", run_s, cancel, **shape)
+        submit = partial(world["east"].submit, f"job-{number}", run_s, cancel_after_s, **fields)
         world["east"].after(rng.uniform(4.0, 50.0), submit)
     for _ in range(12):
         world.run(world.now + rng.uniform(2.0, 10.0))
-        troubles(world)
-    vanishing = world[rng.choice(NAMES[1:])] if seed % 2 else None
-    if vanishing is not None:
-        vanishing.vanish()
+        inject_fault(world)
+    vanishing_cell = world[rng.choice(NAMES[1:])] if seed % 2 else None
+    if vanishing_cell is not None:
+        vanishing_cell.vanish()
     world.run(max(world.now, 60.0))
     for fleet in world.fleets.values():
         fleet.lost_commits = 0.0
     assert world.count("offered") + world.frames > 0
-    all_end(world)
+    assert_all_end(world)
     assert len(world.jobs) == 36
