--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -300,7 +300,9 @@
 ]
 
 
-@pytest.mark.parametrize("how", ["hung_until", "cut_until", "mute_until", "deaf_until"])
+@pytest.mark.parametrize(
+    "how", ["hung_until", "cut_until", "reports_lost_until", "responses_lost_until"]
+)
 def test_at_the_limit_while_machines_do_not_answer(how: str) -> None:
     """A cancelled task counts against the limit until it is proven gone, whoever leads."""
     fleet = Fleet(21, capacity=120, teams=TEAMS_WITH_LOW_LIMITS)
