--- a/coursefold/cells/cells.py
+++ b/coursefold/cells/cells.py
@@ -32,7 +32,7 @@
         self.port = CorePort(core)
         self.directory = Directory(config, core.ctx)
         self.waits = WaitLog(core.view)
-        self.decisions = DecisionLog(lambda: core.ctx.wall)
+        self.decisions = DecisionLog(lambda: core.ctx.wall_time)
         self.home = HomeSide(config, self.port, self.directory, self.waits, self.decisions)
         self.guest = GuestSide(config, self.port, self.directory, self.decisions)
         self.seq = 0
@@ -56,7 +56,7 @@
         self.home.tick()
         self.guest.tick()
         ctx = self.core.ctx
-        self.waits.look(ctx.now, ctx.wall)
+        self.waits.look(ctx.now, ctx.wall_time)
         if ctx.now - self.waits_at > WAITS_EVERY_S:
             self.waits_at = ctx.now
             self.encoded_waits = self.waits.encoded()
@@ -70,14 +70,14 @@
     def _stop_lapsed(self) -> None:
         """On every controller: stop the tasks of guests as soon as their grant has ended."""
         ctx = self.core.ctx
-        for home in ctx.grants.seen:
-            now_lapsed = ctx.grants.lapsed(home, ctx.now, ctx.wall)
+        for home in ctx.grants.seen_grants:
+            now_lapsed = ctx.grants.has_expired(home, ctx.now, ctx.wall_time)
             if now_lapsed and not self.lapsed.get(home, True):
                 guests = self.core.view.guests.items()
                 names = [n for n, job in guests if job.guest and job.guest.home == home]
                 if names:
                     log.info("the grant of %s has ended: %d jobs are stopped", home, len(names))
-                    self.core.stop_tasks(names)
+                    self.core.stop_cancelled_tasks(names)
             self.lapsed[home] = now_lapsed
 
     def take(self, raw: bytes, address: str) -> bool:
@@ -96,10 +96,10 @@
         workers = ctx.settings.params.workers
         frame = Frame(
             cell=self.config.cell,
-            member=str(ctx.me),
+            member=str(ctx.own_name),
             token=self.core.view.token,
             seq=self.seq,
-            sent_at=ctx.wall,
+            sent_at=ctx.wall_time,
             lease_s=workers.lease_s,
             cancel_s=workers.cancel_s,
             draining=self.config.spill.draining,
@@ -109,11 +109,11 @@
 
     # For operators
 
-    def operate(self, path: str, body: bytes, ticket: int) -> bool:
+    def handle_operator_command(self, path: str, body: bytes, ticket: int) -> bool:
         """There are no operators' commands to cells."""
         return False
 
-    def condition(self) -> dict[str, Any]:
+    def health_status(self) -> dict[str, Any]:
         """What `coursefold cells` shows."""
         waits = summarize(self.waits.histogram)
         return {
@@ -132,7 +132,7 @@
 
     def _moved(self) -> list[dict[str, Any]]:
         """Our jobs in other cells and theirs here, those that moved last first."""
-        wall, view = self.core.ctx.wall, self.core.view
+        wall, view = self.core.ctx.wall_time, self.core.view
         found: list[tuple[float, str, str, str]] = []
         for name, job in view.away.items():
             if job.away:
--- a/coursefold/cells/directory.py
+++ b/coursefold/cells/directory.py
@@ -80,8 +80,8 @@
         if frame.member not in self.config.entries[frame.cell].controllers:
             raise BadFrameError(f"cell {frame.cell} has no controller {frame.member[:40]!r}")
         skew = 2.0 * self.ctx.settings.params.skew_ms / 1000.0
-        if abs(self.ctx.wall - frame.sent_at) > LATE_S + skew:
-            raise BadFrameError(f"sent {self.ctx.wall - frame.sent_at:.1f} s ago")
+        if abs(self.ctx.wall_time - frame.sent_at) > LATE_S + skew:
+            raise BadFrameError(f"sent {self.ctx.wall_time - frame.sent_at:.1f} s ago")
         return cell
 
     def is_reachable(self, name: str) -> bool:
--- a/coursefold/cells/guest.py
+++ b/coursefold/cells/guest.py
@@ -80,13 +80,13 @@
             self._forget_if_unheard(guest, handle)
 
     def _revoke_if_lapsed(self, home: str, handle: Handle) -> None:
-        if self.ctx.grants.lapsed(home, self.ctx.now, self.ctx.wall):
+        if self.ctx.grants.has_expired(home, self.ctx.now, self.ctx.wall_time):
             self.counts["lapsed"] += 1
             self._revoke(home, handle, "the grant has ended")
 
     def _forget_if_unheard(self, guest: Guest, handle: Handle) -> None:
         """Room is not held for a cell that may be gone; a grant that comes later finds nothing."""
-        waited_s = self.ctx.wall - guest.at
+        waited_s = self.ctx.wall_time - guest.at
         if waited_s > RESERVED_S and not self.directory.is_reachable(guest.home):
             self._forget(guest.home, handle, f"its home was not heard for {waited_s:.0f} s")
 
@@ -120,14 +120,14 @@
     def _hold(self, home: str, frame: Frame) -> None:
         """Record the grant's end, before any guest runs by it."""
         link = self.view.links.get(home, CellLink())
-        left = frame.until - self.ctx.wall
+        left = frame.until - self.ctx.wall_time
         if frame.until > link.held_until and left > 0:
             self.port.change_link(home, edits.hold_grant(frame.until, left), "held")
 
     def _accept(self, home: str, handle: Handle) -> None:
-        if self.ctx.grants.lapsed(home, self.ctx.now, self.ctx.wall):
+        if self.ctx.grants.has_expired(home, self.ctx.now, self.ctx.wall_time):
             return  # its end has to be recorded first
-        change = edits.accept_grant(home, handle, self.ctx.wall)
+        change = edits.accept_grant(home, handle, self.ctx.wall_time)
         if self.port.change_job(handle.job, change, TAG):
             self.counts["granted"] += 1
             self.decisions.note(Step.RUN, home, handle)
@@ -212,7 +212,7 @@
             else:
                 self._refuse(home, handle, why)
 
-        change = edits.reserve(home, offer, reservation, self.ctx.wall)
+        change = edits.reserve(home, offer, reservation, self.ctx.wall_time)
         self.port.propose(
             Edit(job_key(handle.job), change, fence=self.view.token, tag=TAG, done=settled)
         )
--- a/coursefold/cells/port.py
+++ b/coursefold/cells/port.py
@@ -48,7 +48,7 @@
 
     def leads(self) -> bool:
         """May this controller decide for its cell, in the forms that cells need?"""
-        return self.ctx.leading() and self.view.level >= records.WITH_CELLS
+        return self.ctx.is_leading() and self.view.level >= records.WITH_CELLS
 
     def quota(self) -> Quota:
         """The teams' limits and what is used of them now."""
@@ -116,7 +116,7 @@
 
     def about_to_be_placed(self) -> set[str]:
         """Jobs of which tasks get a place just now."""
-        return {name for name, _ in self.ctx.pending}
+        return {name for name, _ in self.ctx.placements_in_flight}
 
     def change_job(self, name: JobId, change: Change, tag: str, rank: int = SOON) -> bool:
         """Have a job's record changed; False while the same change is under way."""
--- a/coursefold/coordination/cancellations.py
+++ b/coursefold/coordination/cancellations.py
@@ -41,7 +41,7 @@
     view = ctx.view
     peer = ctx.peers.get(member)
     body.ledger, body.roster = view.ledger, view.token
-    body.since = peer.ledger if peer else 0
+    body.since = peer.revision if peer else 0
     stamps = [(view.stamp(job_key(name)), name) for name in view.cancelled]
     found = sorted(((s, n) for s, n in stamps if s > body.since), reverse=True)
     most = most_told(ctx)
@@ -55,7 +55,7 @@
 def _sound(ctx: Context, told: peer_pb2.Cancellations) -> bool:
     """False for what no controller would say."""
     state = ctx.settings.params.state
-    silence = max(0.0, ctx.now - ctx.follow_ok_at)
+    silence = max(0.0, ctx.now - ctx.watch_ok_at)
     latest = ctx.view.ledger + AHEAD + int(4 * state.write_rps * (silence + 10.0))
     return (
         len(told.jobs) <= most_told(ctx)
@@ -72,20 +72,20 @@
     if not _sound(ctx, told):
         log.error("cancellations told by %s make no sense and are dropped", peer.member)
         return
-    peer.ledger, peer.roster = told.ledger, told.roster
+    peer.revision, peer.roster_token = told.ledger, told.roster
     for item in told.jobs:
         name = JobId(item.job)
-        if item.stamp > max(ctx.view.ledger, ctx.handed.get(name, 0)):
-            if name not in ctx.handed:
-                ctx.handed_now.append(name)
+        if item.stamp > max(ctx.view.ledger, ctx.peer_cancellations.get(name, 0)):
+            if name not in ctx.peer_cancellations:
+                ctx.new_peer_cancellations.append(name)
                 log.info("cancel %s: known to %s and not yet to us", name, peer.member)
-            ctx.handed[name] = item.stamp
+            ctx.peer_cancellations[name] = item.stamp
     if (
         told.since <= ctx.view.ledger  # we know all that came before what it handed over
         and told.roster <= ctx.view.token  # else our machines may be another's by now
         and _same_process(ctx, peer)
     ):
-        peer.known_until = max(peer.known_until, sent)
+        peer.cancellations_known_until = max(peer.cancellations_known_until, sent)
 
 
 def _same_process(ctx: Context, peer: PeerView) -> bool:
@@ -96,10 +96,10 @@
     """
     roster = ctx.view.roster
     member = roster.member(peer.member) if roster else None
-    if not peer.permit:
+    if not peer.lease_id:
         return False
-    return (member is not None and member.permit == peer.permit) or (
-        peer.permit_at <= ctx.follow_ok_at
+    return (member is not None and member.permit == peer.lease_id) or (
+        peer.lease_id_seen_at <= ctx.watch_ok_at
     )
 
 
@@ -108,14 +108,16 @@
     siblings = ctx.settings.siblings
     if not siblings:
         return ctx.now
-    told = [p.known_until if (p := ctx.peers.get(s.member)) else -1e9 for s in siblings]
-    return max(ctx.follow_ok_at, min(told))
+    told = [
+        p.cancellations_known_until if (p := ctx.peers.get(s.member)) else -1e9 for s in siblings
+    ]
+    return max(ctx.watch_ok_at, min(told))
 
 
 def prune(ctx: Context) -> None:
     """Drop what our own records show by now."""
-    for name in [n for n, stamp in ctx.handed.items() if stamp <= ctx.view.ledger]:
-        del ctx.handed[name]
+    for name in [n for n, stamp in ctx.peer_cancellations.items() if stamp <= ctx.view.ledger]:
+        del ctx.peer_cancellations[name]
 
 
 def is_off(ctx: Context, name: JobId) -> bool:
@@ -123,6 +125,6 @@
     job = ctx.view.jobs.get(name)
     if job is not None and job.status == records.CANCELLED:
         return True
-    if ctx.grants.is_over(job, ctx.now, ctx.wall):
+    if ctx.grants.has_job_grant_expired(job, ctx.now, ctx.wall_time):
         return True
-    return ctx.handed.get(name, 0) > ctx.view.ledger
+    return ctx.peer_cancellations.get(name, 0) > ctx.view.ledger
--- a/coursefold/coordination/cloud.py
+++ b/coursefold/coordination/cloud.py
@@ -93,7 +93,7 @@
         self.budget.take(ctx.now, 1.0)
         self.last_call += 1
         self.pending[self.last_call] = Pending(verb, subject)
-        ctx.out.append(CloudCall(self.last_call, verb, body))
+        ctx.effects.append(CloudCall(self.last_call, verb, body))
         return True
 
     def answered(self, call: int, status: int, body: bytes) -> Pending | None:
--- a/coursefold/coordination/commands.py
+++ b/coursefold/coordination/commands.py
@@ -9,7 +9,7 @@
 
 from coursefold.coordination import cancellations
 from coursefold.coordination.context import Context, Machine
-from coursefold.coordination.effects import Direct
+from coursefold.coordination.effects import SendCommands
 from coursefold.coordination.steps import Steps
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Order, Report, TaskReport
@@ -23,13 +23,13 @@
 STARTED_AGAIN = frozenset({"busy", "incomplete"})
 
 
-class Commands:
+class CommandPlanner:
     """Finds commands for machines of our part, and has exits written."""
 
     def __init__(self, ctx: Context, steps: Steps) -> None:
         self.ctx, self.steps = ctx, steps
 
-    def for_report(self, machine: Machine, report: Report) -> list[Order]:
+    def commands_for_report(self, machine: Machine, report: Report) -> list[Order]:
         """Compare what is there with what should be, and command the difference."""
         ctx = self.ctx
         forgets: list[Order] = []
@@ -74,7 +74,7 @@
         place = (job_id, entry.index)
         listed = machine.tasks.get(place)
         if entry.session < report.session:
-            self.gone(job_id, entry, machine)
+            self.propose_gone(job_id, entry, machine)
             return
         if listed is not None and listed.state != "exited":
             return
@@ -93,10 +93,10 @@
         # Proof of absence. A worker has one report in flight, so this one, newer than
         # any we answered, shows what came of our own `run`. Only under our own token:
         # a former owner's `run` could still be on its way to a worker without it.
-        if report.token == ctx.token_of(machine.id):
-            self.gone(job_id, entry, machine)
+        if report.token == ctx.machine_token(machine.id):
+            self.propose_gone(job_id, entry, machine)
 
-    def gone(self, job_id: JobId, entry: Entry, machine: Machine) -> None:
+    def propose_gone(self, job_id: JobId, entry: Entry, machine: Machine) -> None:
         """Have it written that a task's place is proven gone."""
         self.steps.propose(job_id, "gone", entry, f"gone{entry.index}", machine=machine.id)
 
@@ -119,8 +119,8 @@
         begun = None
         if cause == "done":
             kind = "finish"
-            begun = machine.running.pop((job_id, entry.index, entry.attempt), None)
-            machine.failures.clear()
+            begun = machine.running_since.pop((job_id, entry.index, entry.attempt), None)
+            machine.failed_attempts.clear()
         elif cause in ("error", "unknown"):
             kind = "failed"
             if cause == "error":
@@ -129,7 +129,7 @@
             kind = "gone"
         if self.steps.propose(job_id, kind, entry, tag, machine=machine.id):
             if begun is not None:
-                ctx.finished.append((job.spec.lane, ctx.now - begun))
+                ctx.finished_runs.append((job.spec.lane, ctx.now - begun))
             log.info(
                 "task %s/%d#%d on %s: %s", job_id, entry.index, entry.attempt, machine.id, cause
             )
@@ -142,20 +142,20 @@
         a mistake fails everywhere and is no proof against any machine.
         """
         mark = f"{job_id}.{job.attempt}"
-        if mark in machine.failures:
+        if mark in machine.failed_attempts:
             return
-        machine.failures.append(mark)
-        names = {f.partition(".")[0] for f in machine.failures}
-        if not machine.sick and (
-            len(names) >= 2 or (len(machine.failures) >= 2 and job.done_count > 0)
+        machine.failed_attempts.append(mark)
+        names = {f.partition(".")[0] for f in machine.failed_attempts}
+        if not machine.quarantined and (
+            len(names) >= 2 or (len(machine.failed_attempts) >= 2 and job.done_count > 0)
         ):
-            machine.sick = True
-            self.ctx.tell = True
+            machine.quarantined = True
+            self.ctx.notify_peers = True
             log.info(
                 "machine %s fails what it starts (%s): out of use", machine.id, ",".join(names)
             )
 
-    def stop_now(self, machine: Machine) -> None:
+    def send_stops(self, machine: Machine) -> None:
         """Tell a worker to stop a task without waiting for its report.
 
         Only stops go this way, and only once they are written: a command to the
@@ -181,5 +181,5 @@
                 grace = 0.0 if off else self._grace(job)
                 orders.append(Order("stop", f"{job_id}/{entry.index}", entry.attempt, grace))
         if orders:
-            token = ctx.token_of(machine.id)
-            ctx.out.append(Direct(machine.addr, token, machine.session, orders))
+            token = ctx.machine_token(machine.id)
+            ctx.effects.append(SendCommands(machine.address, token, machine.session, orders))
--- a/coursefold/coordination/context.py
+++ b/coursefold/coordination/context.py
@@ -1,10 +1,10 @@
 """What every part of the core shares: settings, the view, time, and the outbox."""
 
 from coursefold.coordination.effects import Effect
-from coursefold.coordination.grants import GrantClock
+from coursefold.coordination.grants import GrantExpiry
 from coursefold.coordination.ownership import OwnershipTable
-from coursefold.coordination.parts import owner
 from coursefold.coordination.placement import Market, Room
+from coursefold.coordination.rendezvous import hash_owner
 from coursefold.policy import Policy
 from coursefold.protocol.ids import JobId, Member, Moment, WallTime
 from coursefold.protocol.wire import Catalog, Job, MachineType, TaskReport
@@ -15,37 +15,37 @@
 
 MARKET_S = 3.0
 OWNERS = 20_000  # machines whose owner is remembered
-NEWS_AGE_S = 8.0  # news of the state service that are older are no ground for decisions
+MAX_VIEW_AGE_S = 8.0  # news of the state service that are older are no ground for decisions
 KEPT_S = 1.0  # a lease that we renew ends this long before a promised cancellation has to hold
-DRIFT = CLOCK_DRIFT
+LEASE_DRIFT_FACTOR = CLOCK_DRIFT
 
 
 class Machine:
     """A worker in our part, as its reports show it."""
 
     def __init__(self, id: str, build: str, zone: str, spot: bool) -> None:
-        self.id, self.build, self.zone, self.spot = id, build, zone, spot
-        self.addr = ""
+        self.id, self.machine_type, self.zone, self.spot = id, build, zone, spot
+        self.address = ""
         self.session = 0
-        self.counter = -1
+        self.sequence = -1
         self.token = 0
-        self.heard = Moment(0.0)
-        self.answered = Moment(0.0)
+        self.last_report_at = Moment(0.0)
+        self.last_response_at = Moment(0.0)
         self.recall_at: float | None = None
         self.tasks: dict[tuple[str, int], TaskReport] = {}
-        self.running: dict[tuple[str, int, int], float] = {}
+        self.running_since: dict[tuple[str, int, int], float] = {}
         self.images: dict[str, float] = {}
-        self.failures: list[str] = []
+        self.failed_attempts: list[str] = []
         self.stops_sent: set[tuple[str, int, int]] = set()
-        self.sick = False
-        self.quiet = False
-        self.proven = False  # has shown our token
-        self.hears = True  # its last reports came as from one that gets our answers
-        self.deaf = False
-        self.deaf_since: float | None = None
-        self.lent_until = 0.0
+        self.quarantined = False
+        self.unresponsive = False
+        self.token_confirmed = False  # has shown our token
+        self.receives_responses = True  # its last reports came as from one that gets our answers
+        self.responses_lost = False
+        self.no_response_since: float | None = None
+        self.gang_reservation_until = 0.0
         self.idle_since = Moment(0.0)
-        self.lost = False
+        self.lease_expired = False
 
     def remember_image(self, image: str, size: float, cache: float) -> None:
         """Most recently used last; what exceeds the cache is taken as dropped."""
@@ -59,47 +59,53 @@
     """A worker in a sibling's part, as its summaries show it."""
 
     __slots__ = (
-        "build", "deaf", "draining", "heard", "id", "idle", "idle_since", "images", "lent", "lost",
-        "quiet", "session", "sick", "spot", "zone",
+        "draining", "id", "idle", "idle_since", "images", "last_report_at", "lease_expired",
+        "machine_type", "quarantined", "reserved_for_gang", "responses_lost", "session",
+        "spot", "unresponsive", "zone",
     )  # fmt: skip
 
     def __init__(
         self, id: str, build: str, zone: str, spot: bool, session: int, heard: float
     ) -> None:
-        self.id, self.build, self.zone, self.spot = id, build, zone, spot
-        self.session, self.heard = session, heard
-        self.quiet = self.draining = self.sick = self.lent = self.idle = False
-        self.lost = self.deaf = False
+        self.id, self.machine_type, self.zone, self.spot = id, build, zone, spot
+        self.session, self.last_report_at = session, heard
+        self.unresponsive = self.draining = self.quarantined = self.reserved_for_gang = (
+            self.idle
+        ) = False
+        self.lease_expired = self.responses_lost = False
         self.idle_since = 0.0
         self.images: frozenset[str] = frozenset()
 
-    def silence(self, now: float) -> float:
+    def silence_s(self, now: float) -> float:
         """Seconds without a report; a row is sent again when a machine falls quiet."""
-        return now - self.heard if self.quiet else 0.0
+        return now - self.last_report_at if self.unresponsive else 0.0
 
 
 class PeerView:
     """What a sibling's summaries say, and when the last one came."""
 
     def __init__(self, member: str, link: float) -> None:
-        self.member, self.link = member, link
-        self.seq = 0
-        self.token = self.permit = 0
-        self.permit_at = Moment(1e18)  # when its lease was first heard of
-        self.ledger = self.roster = 0
-        self.known_until = Moment(-1e9)  # we know what it confirmed until then
-        self.state_age = 0.0
-        self.at = Moment(-1e9)
+        self.member, self.connection_started_at = member, link
+        self.sequence = 0
+        self.token = self.lease_id = 0
+        self.lease_id_seen_at = Moment(1e18)  # when its lease was first heard of
+        self.revision = self.roster_token = 0
+        self.cancellations_known_until = Moment(-1e9)  # we know what it confirmed until then
+        self.state_age_s = 0.0
+        self.last_frame_at = Moment(-1e9)
         self.machines: dict[str, PeerMachine] = {}
-        self.complete = False  # all its rows have come
-        self.wanted: frozenset[str] = frozenset()
+        self.is_complete = False  # all its rows have come
+        self.requested_machines: frozenset[str] = frozenset()
         self.unreachable_for_workers: frozenset[str] = frozenset()
         self.reasons: dict[str, str] = {}
 
-    def inherit(self, before: "PeerView") -> None:
+    def copy_member_state(self, before: "PeerView") -> None:
         """Keep what is true of the member and not only of one connection."""
-        self.permit, self.permit_at = before.permit, before.permit_at
-        self.ledger, self.known_until = before.ledger, before.known_until
+        self.lease_id, self.lease_id_seen_at = before.lease_id, before.lease_id_seen_at
+        self.revision, self.cancellations_known_until = (
+            before.revision,
+            before.cancellations_known_until,
+        )
 
 
 class Context:
@@ -110,26 +116,26 @@
     ) -> None:
         self.policy = policy or Policy()
         self.settings, self.view, self.queue = settings, view, queue
-        self.grants = GrantClock(view)
+        self.grants = GrantExpiry(view)
         self.ownership = OwnershipTable(view)
-        self.me = Member(settings.member)
-        self.now, self.wall = Moment(0.0), WallTime(0.0)
-        self.started: Moment | None = None
-        self.out: list[Effect] = []
-        self.permit = 0
+        self.own_name = Member(settings.member)
+        self.now, self.wall_time = Moment(0.0), WallTime(0.0)
+        self.started_at: Moment | None = None
+        self.effects: list[Effect] = []
+        self.lease_id = 0
         self.lease_until = Moment(0.0)
         self.state_ok_at = Moment(0.0)
-        self.follow_ok_at = Moment(0.0)
-        self.token_since = Moment(0.0)
-        self.token_seen = 0
+        self.watch_ok_at = Moment(0.0)
+        self.token_seen_at = Moment(0.0)
+        self.seen_token = 0
         self.machines: dict[str, Machine] = {}
         self.peers: dict[str, PeerView] = {}
-        self.pending: dict[tuple[str, int], tuple[str, Job]] = {}
-        self.finished: list[tuple[str, float]] = []
+        self.placements_in_flight: dict[tuple[str, int], tuple[str, Job]] = {}
+        self.finished_runs: list[tuple[str, float]] = []
         # Cancelled jobs that a sibling knows of, by revision, until our records show them.
-        self.handed: dict[JobId, int] = {}
-        self.handed_now: list[JobId] = []
-        self.tell = False
+        self.peer_cancellations: dict[JobId, int] = {}
+        self.new_peer_cancellations: list[JobId] = []
+        self.notify_peers = False
         self._owners: dict[str, str | None] = {}
         self._owners_at = -1
         self._kinds: dict[str, MachineType] = {}
@@ -142,13 +148,13 @@
         """The roster that we know."""
         return self.view.roster
 
-    def my_record(self) -> MemberRecord | None:
+    def own_record(self) -> MemberRecord | None:
         """Our place in the roster, if it is this incarnation's."""
         roster = self.view.roster
-        mine = roster.member(self.me) if roster else None
-        return mine if mine and self.permit and mine.permit == self.permit else None
+        mine = roster.member(self.own_name) if roster else None
+        return mine if mine and self.lease_id and mine.permit == self.lease_id else None
 
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """True while we may decide: in the roster, our lease safe, our view fresh."""
         return (
             self.view.loaded
@@ -156,34 +162,34 @@
             # wrote before it; until the news has come that far, we know too little.
             and self.view.ledger >= self.view.token
             and self.now < self.lease_until
-            and self.my_record() is not None
-            and self.now - self.follow_ok_at < self.news_age()
+            and self.own_record() is not None
+            and self.now - self.watch_ok_at < self.max_view_age_s()
         )
 
-    def longest_renewal(self) -> float:
+    def max_renewal_s(self) -> float:
         """For how long after our last news leases may be renewed, whatever was cancelled since.
 
         A lease that is renewed then ends before a cancellation that was promised just after
         those news has to hold.
         """
         workers = self.settings.params.workers
-        return workers.cancel_s - workers.lease_s * DRIFT - KEPT_S
+        return workers.cancel_s - workers.lease_s * LEASE_DRIFT_FACTOR - KEPT_S
 
-    def news_age(self) -> float:
+    def max_view_age_s(self) -> float:
         """The age from which our news are too old to decide on, and to renew leases."""
-        return min(NEWS_AGE_S, self.longest_renewal())
+        return min(MAX_VIEW_AGE_S, self.max_renewal_s())
 
-    def leading(self) -> bool:
+    def is_leading(self) -> bool:
         """May we decide for the whole cell?"""
         roster = self.view.roster
-        return roster is not None and roster.leader == self.me and self.active()
+        return roster is not None and roster.leader == self.own_name and self.is_active()
 
-    def owner(self, machine: str, zone: str) -> str | None:
+    def owner_of(self, machine: str, zone: str) -> str | None:
         """The member that owns a machine; hashed once under each roster."""
         roster = self.view.roster
         if roster is None:
             return None
-        assigned = self.ownership.assigned(machine)
+        assigned = self.ownership.assigned_owner(machine)
         return assigned if assigned is not None else self.owner_by_hash(machine, zone, roster)
 
     def owner_by_hash(self, machine: str, zone: str, roster: Roster) -> str | None:
@@ -192,31 +198,31 @@
             self._owners, self._owners_at = {}, self.view.token
         found = self._owners.get(machine, "")
         if found == "":
-            found = self._owners[machine] = owner(machine, zone, roster)
+            found = self._owners[machine] = hash_owner(machine, zone, roster)
         return found
 
     def owns(self, machine: str, zone: str) -> bool:
         """Is the machine in our part?"""
-        return self.owner(machine, zone) == self.me
+        return self.owner_of(machine, zone) == self.own_name
 
-    def token_of(self, machine: str) -> int:
+    def machine_token(self, machine: str) -> int:
         """The fencing token under which a machine's owner commands it."""
         return self.ownership.token(machine)
 
-    def token_of_since(self, machine: str) -> float:
+    def machine_token_seen_at(self, machine: str) -> float:
         """Since when this process knows the machine's fencing token."""
-        return max(self.token_since, self.ownership.seen_at(machine))
+        return max(self.token_seen_at, self.ownership.seen_at(machine))
 
     def observe_handovers(self) -> None:
         """Begin anew with machines that changed hands: they have not shown their new token."""
-        for machine in self.ownership.observe(self.now):
+        for machine in self.ownership.observe_changes(self.now):
             self.machines.pop(machine, None)
 
-    def alive_within(self) -> float:
+    def max_report_age_s(self) -> float:
         """A machine not heard for longer takes no new tasks."""
         return self.settings.params.workers.report_s * 2.5 + 0.5
 
-    def kind(self, build: str) -> MachineType | None:
+    def machine_type(self, build: str) -> MachineType | None:
         """A machine type by its name."""
         catalog = self.view.catalog
         if catalog is not self._kinds_of:
@@ -224,7 +230,7 @@
             self._kinds = {t.name: t for t in catalog.builds} if catalog else {}
         return self._kinds.get(build)
 
-    def market(self) -> Market:
+    def price_index(self) -> Market:
         """By one job of each class; looked at anew now and then."""
         catalog = self.view.catalog
         if catalog is not None and self.now - self._market_at > MARKET_S:
@@ -232,31 +238,33 @@
             self._market, self._market_at = Market(catalog.builds, lanes.values()), self.now
         return self._market
 
-    def room(self, id: str) -> Room | None:
+    def machine_capacity(self, id: str) -> Room | None:
         """One machine of our part, if it can take tasks."""
         m = self.machines.get(id)
         return self._room(m) if m is not None else None
 
     def _room(self, m: Machine) -> Room | None:
-        kind = self.kind(m.build)
+        kind = self.machine_type(m.machine_type)
         if (
             kind is None
-            or m.sick
-            or m.lost
-            or m.deaf
-            or not m.proven
-            or not m.hears
-            or self.now - m.heard > self.alive_within()
+            or m.quarantined
+            or m.lease_expired
+            or m.responses_lost
+            or not m.token_confirmed
+            or not m.receives_responses
+            or self.now - m.last_report_at > self.max_report_age_s()
             or not self.owns(m.id, m.zone)
         ):
             return None
-        room = Room(m.id, kind, m.zone, m.spot, self.me, m.session, self.view.load(m.id), m.images)
-        room.draining = m.recall_at is not None or self.ownership.is_draining(m.id, self.wall)
-        room.lent = m.lent_until > self.now
+        room = Room(
+            m.id, kind, m.zone, m.spot, self.own_name, m.session, self.view.load(m.id), m.images
+        )
+        room.draining = m.recall_at is not None or self.ownership.is_draining(m.id, self.wall_time)
+        room.lent = m.gang_reservation_until > self.now
         room.idle_since = m.idle_since
         return room
 
-    def rooms(self, mine_only: bool = False) -> list[Room]:
+    def available_machines(self, mine_only: bool = False) -> list[Room]:
         """Machines that can take tasks, with what is free after all entries and plans."""
         rooms: dict[str, Room] = {}
         for m in self.machines.values():
@@ -265,7 +273,7 @@
                 rooms[m.id] = room
         if not mine_only:
             self._peer_rooms(rooms)
-        for (name, index), (machine, spec) in self.pending.items():
+        for (name, index), (machine, spec) in self.placements_in_flight.items():
             # Under way: counts at its new place, not at the one it has in the record.
             entry = self.view.entry(JobId(name), index)
             if entry is not None:
@@ -281,22 +289,22 @@
         roster = self.view.roster
         if roster is None:
             return
-        load, alive = self.view.load, min(3.0, self.alive_within())
-        owner, kind_of = self.owner, self.kind
+        load, alive = self.view.load, min(3.0, self.max_report_age_s())
+        owner, kind_of = self.owner_of, self.machine_type
         for peer in self.peers.values():
-            if self.now - peer.at > alive:
+            if self.now - peer.last_frame_at > alive:
                 continue
             member = peer.member
             for pm in peer.machines.values():
-                if pm.sick or pm.lost or pm.deaf or pm.quiet:
+                if pm.quarantined or pm.lease_expired or pm.responses_lost or pm.unresponsive:
                     continue
-                kind = kind_of(pm.build)
+                kind = kind_of(pm.machine_type)
                 if kind is None or owner(pm.id, pm.zone) != member:
                     continue
                 room = Room(
                     pm.id, kind, pm.zone, pm.spot, member, pm.session, load(pm.id), pm.images
                 )
-                room.draining = pm.draining or self.ownership.is_draining(pm.id, self.wall)
-                room.lent = pm.lent
+                room.draining = pm.draining or self.ownership.is_draining(pm.id, self.wall_time)
+                room.lent = pm.reserved_for_gang
                 room.idle_since = pm.idle_since
                 rooms[pm.id] = room
--- a/coursefold/coordination/core.py
+++ b/coursefold/coordination/core.py
@@ -13,7 +13,7 @@
 from coursefold import __version__
 from coursefold.coordination import jobs, summary
 from coursefold.coordination.context import Context
-from coursefold.coordination.effects import Answer, Effect, Tell
+from coursefold.coordination.effects import Effect, NotifyPeers, Response
 from coursefold.coordination.election import Election
 from coursefold.coordination.extension import Extension
 from coursefold.coordination.fleet import Fleet
@@ -58,10 +58,10 @@
         self.upgrade = Upgrade(self.ctx)
         self.election = Election(self.ctx, self.upgrade)
         rows = summary.Rows(self.ctx)
-        self.tellers = {
+        self.frame_builders = {
             s.member: summary.Teller(self.ctx, rows, s.member) for s in settings.siblings
         }
-        self.forwarding = Forwarding(self.ctx, self.tellers)
+        self.forwarding = Forwarding(self.ctx, self.frame_builders)
         self.owner = Owner(self.ctx, self.election, self.forwarding.edit)
         self.leader = Leader(self.ctx, self.owner)
         self.fleet = Fleet(self.ctx, self.leader)
@@ -69,35 +69,35 @@
         self.requests = Requests(self.ctx, lambda: self.leader.reasons)
         self.was_leading = False
 
-    def at(self, now: Moment, wall: WallTime) -> None:
+    def set_time(self, now: Moment, wall: WallTime) -> None:
         """Set the time of the inputs that follow."""
         ctx = self.ctx
-        ctx.now, ctx.wall = now, wall
+        ctx.now, ctx.wall_time = now, wall
         ctx.grants.observe(now)
         self.queue.wall = wall
-        if ctx.started is None:
-            ctx.started = now
-        if ctx.token_seen != self.view.token:
-            ctx.token_seen, ctx.token_since = self.view.token, now
+        if ctx.started_at is None:
+            ctx.started_at = now
+        if ctx.seen_token != self.view.token:
+            ctx.seen_token, ctx.token_seen_at = self.view.token, now
         ctx.observe_handovers()
 
-    def drain(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         """What the inputs so far ask for."""
-        out, self.ctx.out = self.ctx.out, []
-        if self.ctx.tell:
-            self.ctx.tell = False
-            for teller in self.tellers.values():
+        out, self.ctx.effects = self.ctx.effects, []
+        if self.ctx.notify_peers:
+            self.ctx.notify_peers = False
+            for teller in self.frame_builders.values():
                 teller.urgent = True
-        waiting = [name for name, teller in self.tellers.items() if teller.waits()]
+        waiting = [name for name, teller in self.frame_builders.items() if teller.waits()]
         if waiting:
-            out.append(Tell(waiting))
+            out.append(NotifyPeers(waiting))
         return out
 
     def tick(self) -> None:
         """Time has passed, or records have changed."""
         ctx = self.ctx
         roster = self.view.roster
-        self.queue.share(ctx.leading(), len(roster.members) if roster else 1)
+        self.queue.share(ctx.is_leading(), len(roster.members) if roster else 1)
         self.forwarding.tick()
         self.upgrade.tick()
         self.election.tick()
@@ -108,7 +108,7 @@
         for extension in self.extensions:
             extension.tick()
         self._sweep()
-        leading = ctx.leading()
+        leading = ctx.is_leading()
         if leading != self.was_leading:
             self.was_leading = leading
             log.info("%s, token %d", "leading" if leading else "no longer leading", self.view.token)
@@ -117,7 +117,7 @@
         """Move endings to where they stay, when nothing else is to be written."""
         ctx = self.ctx
         unswept = self.view.unswept
-        if len(unswept) < SWEEP or not ctx.leading() or not self.queue.idle(ctx.now):
+        if len(unswept) < SWEEP or not ctx.is_leading() or not self.queue.idle(ctx.now):
             return
         # An ending that a live job names stays where starting nodes read it.
         named = self.view.needs.named
@@ -126,62 +126,62 @@
                 Edit(job_key(name), jobs.sweep(), rank=LATER, fence=self.view.token, tag="sweep")
             )
 
-    def stop_tasks(self, names: Iterable[JobId]) -> None:
+    def stop_cancelled_tasks(self, names: Iterable[JobId]) -> None:
         """Have our workers stop these jobs' tasks now, also while we may decide nothing else."""
-        self.ctx.handed_now.extend(names)
-        self.owner.stop_handed()
+        self.ctx.new_peer_cancellations.extend(names)
+        self.owner.stop_peer_cancelled_tasks()
 
-    def linked(self, member: str) -> None:
+    def peer_connected(self, member: str) -> None:
         """A new connection to a sibling."""
-        self.tellers[member].begin()
+        self.frame_builders[member].begin()
         self.forwarding.linked(member)
 
-    def frame(self, member: str) -> bytes:
+    def next_frame(self, member: str) -> bytes:
         """The next frame for a sibling; empty if there is nothing to say."""
-        return self.tellers[member].frame(
+        return self.frame_builders[member].frame(
             set(self.leader.wanted), self.election.unreachable_for_workers(), self.leader.reasons
         )
 
-    def peer(self, frame: bytes) -> bool:
+    def receive_frame(self, frame: bytes) -> bool:
         """A sibling's frame; False if its connection should end."""
         envelope = summary.read(self.ctx, frame)
         if envelope is None:
             return False
         summary.take(self.ctx, envelope)
-        self.owner.stop_handed()
+        self.owner.stop_peer_cancelled_tasks()
         self.forwarding.outcomes(list(envelope.outcomes))
         self.forwarding.proposals(envelope.sender, list(envelope.proposals))
         return True
 
-    def cloud(self, call: int, status: int, body: bytes) -> None:
+    def receive_cloud_response(self, call: int, status: int, body: bytes) -> None:
         """What the cloud answered to a request; status 0 is no answer."""
         self.fleet.outcome(call, status, body)
 
     # Workers
 
-    def report(self, body: bytes, ticket: int) -> None:
+    def handle_report(self, body: bytes, ticket: int) -> None:
         """POST /agent/beat."""
         try:
             report = decode_report(body)
         except MalformedError as wrong:
             log.info("report refused: %s", wrong)
-            self.ctx.out.append(Answer(ticket, 400, {"error": str(wrong)}))
+            self.ctx.effects.append(Response(ticket, 400, {"error": str(wrong)}))
             return
-        self.owner.report(report, ticket)
+        self.owner.handle_report(report, ticket)
 
     # Users
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Can this node take requests?"""
         return (
             self.view.loaded and not self.requests.state_silent() and self.view.catalog is not None
         )
 
-    def condition(self) -> dict[str, Any]:
+    def health_status(self) -> dict[str, Any]:
         """What an operator asks of one node: is it well, and who has which version?"""
         roster = self.view.roster
         condition: dict[str, Any] = {
-            "ok": self.healthy(),
+            "ok": self.is_healthy(),
             "version": __version__,
             "leader": roster.leader if roster else None,
             "members": [m.name for m in roster.members] if roster else [],
@@ -189,22 +189,24 @@
             "older": self.upgrade.waits_for() if self.view.loaded else None,
         }
         for extension in self.extensions:
-            condition |= extension.condition()
+            condition |= extension.health_status()
         return condition
 
     @property
-    def questions(self) -> list[int]:
+    def requests_awaiting_refresh(self) -> list[int]:
         """Tickets of questions that wait for a view as new as they are."""
         return self.requests.questions
 
-    @questions.setter
-    def questions(self, tickets: list[int]) -> None:
+    @requests_awaiting_refresh.setter
+    def requests_awaiting_refresh(self, tickets: list[int]) -> None:
         self.requests.questions = tickets
 
-    def operate(self, path: str, body: bytes, ticket: int) -> None:
+    def handle_operator_command(self, path: str, body: bytes, ticket: int) -> None:
         """POST of an operator's command."""
-        if not any(extension.operate(path, body, ticket) for extension in self.extensions):
-            self.ctx.out.append(Answer(ticket, 404, {"error": "no such path"}))
+        if not any(
+            extension.handle_operator_command(path, body, ticket) for extension in self.extensions
+        ):
+            self.ctx.effects.append(Response(ticket, 404, {"error": "no such path"}))
 
     def submit(self, body: bytes, ticket: int) -> None:
         """POST /work."""
@@ -218,11 +220,11 @@
         """POST /work/{id}/cancel."""
         self.requests.cancel(job, ticket)
 
-    def vouched(self, tickets: list[int]) -> None:
+    def view_refreshed(self, tickets: list[int]) -> None:
         """The view is now as new as these questions."""
         self.requests.vouched(tickets)
 
-    def read(self, ticket: int, found: JobRecord | Ending | None) -> None:
+    def receive_job_result(self, ticket: int, found: JobRecord | Ending | None) -> None:
         """What the state service knows of the job asked for."""
         self.requests.read(ticket, found)
 
--- a/coursefold/coordination/effects.py
+++ b/coursefold/coordination/effects.py
@@ -5,7 +5,7 @@
 from coursefold.protocol.wire import Order
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """The response to a request that the transport knows by its ticket."""
 
     ticket: int
@@ -14,11 +14,11 @@
     retry_after: int | None = None
 
 
-class Vouch(NamedTuple):
+class RefreshView(NamedTuple):
     """Follow the state service up to now: questions wait that need a view as new as they are."""
 
 
-class Read(NamedTuple):
+class ReadJobResult(NamedTuple):
     """Read a job's final state, which the view does not hold; the outcome comes back."""
 
     ticket: int
@@ -28,24 +28,24 @@
 class CloudCall(NamedTuple):
     """A request to the cloud; its outcome comes back with the same `call`."""
 
-    call: int
+    call_id: int
     verb: str  # catalog, list, hire, return
     body: dict[str, Any]
 
 
-class Tell(NamedTuple):
+class NotifyPeers(NamedTuple):
     """Frames wait for these siblings."""
 
     members: list[str]
 
 
-class Direct(NamedTuple):
+class SendCommands(NamedTuple):
     """Commands sent to a worker's own address; never a `run`, which might execute late."""
 
-    addr: str
+    address: str
     token: int
     session: int
-    orders: list[Order]
+    commands: list[Order]
 
 
-Effect = Answer | Vouch | Read | CloudCall | Tell | Direct
+Effect = Response | RefreshView | ReadJobResult | CloudCall | NotifyPeers | SendCommands
--- a/coursefold/coordination/election.py
+++ b/coursefold/coordination/election.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from coursefold.coordination.context import Context
-from coursefold.coordination.parts import weight
+from coursefold.coordination.rendezvous import rendezvous_weight
 from coursefold.coordination.upgrade import Upgrade
 from coursefold.storage import records
 from coursefold.storage.edits import FIRST, Change, Edit, NotApplicableError, Result
@@ -62,7 +62,7 @@
 
     def _hears(self, member: str) -> bool:
         peer = self.ctx.peers.get(member)
-        return peer is not None and self.ctx.now - peer.at <= UNREACHABLE_S
+        return peer is not None and self.ctx.now - peer.last_frame_at <= UNREACHABLE_S
 
     def _unreachable(self) -> set[str]:
         """Members that workers cannot reach and that we do not hear.
@@ -72,32 +72,32 @@
         changed hands four times a second for as long as that lasted.
         """
         ctx = self.ctx
-        others = [name for name in ctx.view.members if name != ctx.me]
+        others = [name for name in ctx.view.members if name != ctx.own_name]
         if len(others) > 1 and not any(self._hears(name) for name in others):
             return set()
         reported = self.unreachable_for_workers()
         for peer in ctx.peers.values():
-            if ctx.now - peer.at < UNREACHABLE_S:
+            if ctx.now - peer.last_frame_at < UNREACHABLE_S:
                 reported |= peer.unreachable_for_workers
-        if ctx.started is None or ctx.now - ctx.started < UNREACHABLE_S + 1.0:
+        if ctx.started_at is None or ctx.now - ctx.started_at < UNREACHABLE_S + 1.0:
             return set()
-        return {name for name in reported if name != ctx.me and not self._hears(name)}
+        return {name for name in reported if name != ctx.own_name and not self._hears(name)}
 
     def tick(self) -> None:
         """Join, keep the roster up to date while leading, or take over."""
         ctx = self.ctx
-        if not ctx.view.loaded or not ctx.permit or ctx.now >= ctx.lease_until:
+        if not ctx.view.loaded or not ctx.lease_id or ctx.now >= ctx.lease_until:
             return
-        mine = ctx.view.members.get(ctx.me)
-        if mine is None or mine.permit != ctx.permit:
+        mine = ctx.view.members.get(ctx.own_name)
+        if mine is None or mine.permit != ctx.lease_id:
             self._join()
             return
-        if not self.upgrade.speaks(ctx.me):
+        if not self.upgrade.speaks(ctx.own_name):
             return  # what we wrote of our version is on its way
         self._update_evicted()
         roster = ctx.view.roster
         members = self._eligible()
-        if roster is not None and roster.leader == ctx.me and ctx.my_record() is not None:
+        if roster is not None and roster.leader == ctx.own_name and ctx.own_record() is not None:
             self.leaderless_since = None
             self._maintain(roster, members)
         elif roster is not None and self._leader_is_live(roster):
@@ -114,7 +114,7 @@
             self.evicted[name] = ctx.now
         for name in list(self.evicted):
             peer = ctx.peers.get(name)
-            is_heard = peer is not None and ctx.now - peer.at < HEARD_AGAIN_S
+            is_heard = peer is not None and ctx.now - peer.last_frame_at < HEARD_AGAIN_S
             if is_heard and ctx.now - self.evicted[name] > EVICTED_AT_LEAST_S:
                 del self.evicted[name]
 
@@ -124,7 +124,7 @@
         return [
             live[name]
             for name in sorted(live)
-            if name == self.ctx.me or (name not in self.evicted and self.upgrade.speaks(name))
+            if name == self.ctx.own_name or (name not in self.evicted and self.upgrade.speaks(name))
         ]
 
     def _maintain(self, roster: Roster, members: list[MemberRecord]) -> None:
@@ -134,7 +134,7 @@
         closes = bool(view.given_up) and roster.level < view.level
         if closes or (members != roster.members and self._settled(members, roster)):
             why = "closed to older versions" if closes else "membership changed"
-            self._commit(Roster(self.ctx.me, members, view.level), why)
+            self._commit(Roster(self.ctx.own_name, members, view.level), why)
 
     def _leader_is_live(self, roster: Roster) -> bool:
         """Does the roster's leader still hold its lease, in the same incarnation, in reach?"""
@@ -151,7 +151,7 @@
         if self.leaderless_since is None:
             self.leaderless_since = now
         if now - self.leaderless_since >= CANDIDATE_STEP_S * self._place(members, roster):
-            self._commit(Roster(self.ctx.me, members, self.ctx.view.level), "no leader")
+            self._commit(Roster(self.ctx.own_name, members, self.ctx.view.level), "no leader")
 
     def _settled(self, members: list[MemberRecord], roster: Roster) -> bool:
         """Is it time for a new roster? At once when a member has left; joins are gathered.
@@ -180,28 +180,28 @@
 
         def key(m: MemberRecord) -> tuple[bool, bytes]:
             known = roster is not None and roster.member(m.name) == m
-            return (not known, weight(m.name, str(self.ctx.view.token)))
+            return (not known, rendezvous_weight(m.name, str(self.ctx.view.token)))
 
         line = sorted(members, key=key)
-        return next((i for i, m in enumerate(line) if m.name == self.ctx.me), len(line))
+        return next((i for i, m in enumerate(line) if m.name == self.ctx.own_name), len(line))
 
     def _join(self) -> None:
         """Replace our former self's key at once: it will not come back."""
         ctx = self.ctx
         self.upgrade.announce()
-        record = MemberRecord(ctx.me, ctx.permit, ctx.settings.zone)
+        record = MemberRecord(ctx.own_name, ctx.lease_id, ctx.settings.zone)
 
         def change(current: Struct | None) -> Result:
             if current == record:
                 raise NotApplicableError("member already")
-            if record.permit != ctx.permit:
+            if record.permit != ctx.lease_id:
                 raise NotApplicableError("lease replaced")
             return record
 
-        key = records.member_key(ctx.me)
-        edit = Edit(key, change, rank=FIRST, permit=ctx.permit, tag=f"join{ctx.permit}")
+        key = records.member_key(ctx.own_name)
+        edit = Edit(key, change, rank=FIRST, permit=ctx.lease_id, tag=f"join{ctx.lease_id}")
         if ctx.queue.propose(edit):
-            log.info("joining as member %s with lease %d", ctx.me, ctx.permit)
+            log.info("joining as member %s with lease %d", ctx.own_name, ctx.lease_id)
 
     def _commit(self, roster: Roster, why: str) -> None:
         ctx = self.ctx
--- a/coursefold/coordination/extension.py
+++ b/coursefold/coordination/extension.py
@@ -9,8 +9,8 @@
     def tick(self) -> None:
         """Decide; called in each round, after the core's own parts."""
 
-    def operate(self, path: str, body: bytes, ticket: int) -> bool:
+    def handle_operator_command(self, path: str, body: bytes, ticket: int) -> bool:
         """An operator's command; False if it is none of this subsystem's."""
 
-    def condition(self) -> dict[str, Any]:
+    def health_status(self) -> dict[str, Any]:
         """What the controller's condition says of it, by name."""
--- a/coursefold/coordination/fleet.py
+++ b/coursefold/coordination/fleet.py
@@ -52,7 +52,7 @@
         self.leader = leader
         self.parameters = ctx.policy.parameters
         self.cloud = CloudClient(ctx)
-        self.inventory = Inventory(ctx, self.parameters.loss_window, leader.owner.depart)
+        self.inventory = Inventory(ctx, self.parameters.loss_window, leader.owner.remove_machine)
         self.hires = HireBook(ctx, self.cloud, self.inventory)
         self.pools = PoolControl(ctx, leader, self.inventory, self.hires)
         self.leading_token = 0
@@ -77,7 +77,7 @@
     def outcome(self, call: int, status: int, body: bytes) -> None:
         """An answer of the cloud; status 0 is no answer."""
         pending = self.cloud.answered(call, status, body)
-        if pending is None or not self.ctx.leading():
+        if pending is None or not self.ctx.is_leading():
             return
         try:
             self._take_answer(pending.subject, status, body)
@@ -133,7 +133,7 @@
     def tick(self) -> None:
         """One round: ask, watch, send what is recorded, and plan when it is time."""
         ctx = self.ctx
-        if not ctx.leading():
+        if not ctx.is_leading():
             self.leading_token = 0
             return
         if self.leading_token != ctx.view.token:
@@ -207,18 +207,20 @@
     def _is_lent(self, machine: str) -> bool:
         """A spare machine goes back only while its owner keeps it free."""
         ctx = self.ctx
-        if ctx.view.on_machine(machine) or any(m == machine for m, _ in ctx.pending.values()):
+        if ctx.view.on_machine(machine) or any(
+            m == machine for m, _ in ctx.placements_in_flight.values()
+        ):
             self.inventory.returning.pop(machine, None)
             self.leader.wanted.pop(machine, None)
             return False
         own = ctx.machines.get(machine)
         if own is not None:
-            own.lent_until = ctx.now + LENT_FOR_RETURN_S
+            own.gang_reservation_until = ctx.now + LENT_FOR_RETURN_S
             return True
         self.leader.wanted[machine] = ctx.now + LENT_FOR_RETURN_S
         return any(
-            ctx.now - peer.at < FRESH_SUMMARY_S
+            ctx.now - peer.last_frame_at < FRESH_SUMMARY_S
             and machine in peer.machines
-            and peer.machines[machine].lent
+            and peer.machines[machine].reserved_for_gang
             for peer in ctx.peers.values()
         )
--- a/coursefold/coordination/forward.py
+++ b/coursefold/coordination/forward.py
@@ -48,10 +48,10 @@
         """The leader, if it is another node and hears us."""
         ctx = self.ctx
         roster = ctx.view.roster
-        if roster is None or roster.leader == ctx.me or roster.leader not in self.tellers:
+        if roster is None or roster.leader == ctx.own_name or roster.leader not in self.tellers:
             return None
         peer = ctx.peers.get(roster.leader)
-        if peer is None or ctx.now - peer.at > HEARD_S or peer.token != ctx.view.token:
+        if peer is None or ctx.now - peer.last_frame_at > HEARD_S or peer.token != ctx.view.token:
             return None
         return roster.leader
 
@@ -63,7 +63,7 @@
             return ctx.queue.propose(edit)
         if not ctx.queue.claim(edit):
             return False
-        self.last_id = max(self.last_id + 1, int(ctx.wall * 1000))
+        self.last_id = max(self.last_id + 1, int(ctx.wall_time * 1000))
         proposal = peer_pb2.Proposal(
             id=self.last_id, token=ctx.view.token, job=job, kind=step.kind, at=step.at
         )
@@ -122,7 +122,7 @@
                 sender,
                 item.at,
             )
-            if not ctx.leading() or item.token != ctx.view.token:
+            if not ctx.is_leading() or item.token != ctx.view.token:
                 self._answer(sender, item.id, False, "not leading", 0)
                 continue
             if not is_job_id(item.job) or not step.valid():
--- a/coursefold/coordination/hires.py
+++ b/coursefold/coordination/hires.py
@@ -75,7 +75,7 @@
             self.count += 1
             name = f"r-{ctx.view.token}-{self.count}"
             log.info("rent %d of %s in %s (%s)", part, pool, zone, name)
-            self._write(pool, name, Hire(name, zone, pool.spot, part, ctx.wall))
+            self._write(pool, name, Hire(name, zone, pool.spot, part, ctx.wall_time))
 
     def send(self, lists_read: int) -> None:
         """Send what is recorded and not answered; a name gets the same answer again."""
@@ -105,7 +105,7 @@
 
     def _use_answer(self, pool: PoolId, hire: Hire, machines: list[str], lists_read: int) -> None:
         """A recorded answer tells a new leader of machines that no list shows yet."""
-        age = self.ctx.wall - hire.at
+        age = self.ctx.wall_time - hire.at
         if lists_read < LISTS_TO_TRUST and age < ANSWER_KEPT_S:
             for name in machines:
                 self.inventory.add(name, pool, hire.zone, self.ctx.now - age)
--- a/coursefold/coordination/inventory.py
+++ b/coursefold/coordination/inventory.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from coursefold.coordination import jobs
-from coursefold.coordination.context import DRIFT, Context
+from coursefold.coordination.context import LEASE_DRIFT_FACTOR, Context
 from coursefold.coordination.demand import PoolId
 from coursefold.coordination.stability import Losses
 from coursefold.protocol.wire import Listed
@@ -144,24 +144,31 @@
         ctx = self.ctx
         reports: dict[str, OwnerReport] = {}
         for own in ctx.machines.values():
-            if not own.proven:
+            if not own.token_confirmed:
                 continue  # perhaps a late copy of a report, or a machine that does not hear us
-            reports[own.id] = OwnerReport(ctx.now - own.heard, own.sick, own.lost, own.deaf)
-            if not own.lost:
-                self.add(own.id, PoolId(own.build, own.spot), own.zone, ctx.now)
-        current_owners = {str(ctx.me)}
+            reports[own.id] = OwnerReport(
+                ctx.now - own.last_report_at, own.quarantined, own.lease_expired, own.responses_lost
+            )
+            if not own.lease_expired:
+                self.add(own.id, PoolId(own.machine_type, own.spot), own.zone, ctx.now)
+        current_owners = {str(ctx.own_name)}
         for peer in ctx.peers.values():
-            if ctx.now - peer.at > PEER_SUMMARY_MAX_AGE_S or peer.token != ctx.view.token:
+            if (
+                ctx.now - peer.last_frame_at > PEER_SUMMARY_MAX_AGE_S
+                or peer.token != ctx.view.token
+            ):
                 continue
-            if peer.complete:
+            if peer.is_complete:
                 current_owners.add(peer.member)
             for other in peer.machines.values():
                 if other.id in reports:
                     continue
-                silent_s = other.silence(ctx.now)
-                reports[other.id] = OwnerReport(silent_s, other.sick, other.lost, other.deaf)
-                if not other.lost:
-                    self.add(other.id, PoolId(other.build, other.spot), other.zone, ctx.now)
+                silent_s = other.silence_s(ctx.now)
+                reports[other.id] = OwnerReport(
+                    silent_s, other.quarantined, other.lease_expired, other.responses_lost
+                )
+                if not other.lease_expired:
+                    self.add(other.id, PoolId(other.machine_type, other.spot), other.zone, ctx.now)
         return reports, current_owners
 
     def _apply(self, machine: RentedMachine, report: OwnerReport, cut_off: bool) -> None:
@@ -193,7 +200,7 @@
             return
         if machine.zone in cut_off or not self.is_settled(machine.id):
             return
-        if ctx.owner(machine.id, machine.zone) not in current_owners:
+        if ctx.owner_of(machine.id, machine.zone) not in current_owners:
             return
         if machine.up:
             self._give_up(machine, "not heard under this roster")
@@ -209,7 +216,7 @@
         A machine that is dead after all is listed so, or no more, after half a minute.
         """
         ctx = self.ctx
-        if ctx.now - ctx.token_since > self._longest_renewal():
+        if ctx.now - ctx.token_seen_at > self._longest_renewal():
             return set()
         up: dict[str, int] = {}
         heard: dict[str, int] = {}
@@ -242,7 +249,7 @@
             placed = [e for _, e in ctx.view.on_machine(name) if e.stage != DEALT]
             if not placed:
                 continue
-            if ctx.owner(name, placed[0].zone) not in current_owners:
+            if ctx.owner_of(name, placed[0].zone) not in current_owners:
                 continue
             if not self.is_settled(name):
                 continue
@@ -262,7 +269,7 @@
         """
         lease = self.ctx.settings.params.workers.lease_s
         has_tasks = bool(self.ctx.view.on_machine(machine.id))
-        if machine.silent_s > lease * DRIFT + 3.0 and has_tasks:
+        if machine.silent_s > lease * LEASE_DRIFT_FACTOR + 3.0 and has_tasks:
             self._give_up(machine, "silent, with tasks")
         elif machine.silent_s > lease + SILENT_KEPT_S or machine.status == "failed":
             self._give_up(machine, "silent")
@@ -276,7 +283,7 @@
 
     def _count_loss(self, machine: RentedMachine, lost: bool) -> None:
         """What is silent when a leader begins was lost, or returned, before its time."""
-        if lost and machine.up and self.ctx.now - self.ctx.token_since > NEW_LEADER_S:
+        if lost and machine.up and self.ctx.now - self.ctx.token_seen_at > NEW_LEADER_S:
             losses = self.losses.setdefault(machine.pool, Losses(self.loss_window))
             losses.lost(self.ctx.now)
 
@@ -313,12 +320,12 @@
         return not machine.up and age > LATE_BOOTS * self._boot_s(machine)
 
     def _boot_s(self, machine: RentedMachine) -> float:
-        kind = self.ctx.kind(machine.build)
+        kind = self.ctx.machine_type(machine.build)
         return kind.boot if kind else DEFAULT_BOOT_S
 
     def _reports(self, machine: RentedMachine) -> bool:
         """True while the machine's owner hears from it."""
-        return machine.up and machine.silent_s < self.ctx.alive_within()
+        return machine.up and machine.silent_s < self.ctx.max_report_age_s()
 
     def is_settled(self, machine: str = "") -> bool:
         """Have we led for so long that every worker that lives has shown our token?
@@ -326,7 +333,7 @@
         Of a machine: its own, which a handover has raised after the roster's.
         """
         lease = self.ctx.settings.params.workers.lease_s
-        return self.led_for(machine) > lease * DRIFT + SETTLING_S
+        return self.led_for(machine) > lease * LEASE_DRIFT_FACTOR + SETTLING_S
 
     def led_for(self, machine: str = "") -> float:
         """For how long this node has led, under this roster and without a break.
@@ -338,8 +345,8 @@
         in a hunt: a minute's outage after a new roster was taken for a minute's silence,
         and eight machines' tasks were started elsewhere while they ran.
         """
-        return self.ctx.now - max(self.ctx.token_of_since(machine), self.leads_since)
+        return self.ctx.now - max(self.ctx.machine_token_seen_at(machine), self.leads_since)
 
     def _longest_renewal(self) -> float:
         """For how long after a new roster a former owner may still have renewed leases."""
-        return self.ctx.settings.params.workers.cancel_s * DRIFT + 5.0
+        return self.ctx.settings.params.workers.cancel_s * LEASE_DRIFT_FACTOR + 5.0
--- a/coursefold/coordination/leader.py
+++ b/coursefold/coordination/leader.py
@@ -90,7 +90,7 @@
     def tick(self) -> None:
         """One round of dealing, while this node leads."""
         ctx = self.ctx
-        if not ctx.leading():
+        if not ctx.is_leading():
             self.wanted.clear()
             return
         self._undeal_lost()
@@ -102,11 +102,11 @@
         self.gangs_refused = {}
         self.preemption.begin()
         quota = Quota(ctx.settings.params.teams, ctx.view.usage)
-        for (name, index), (_, spec) in ctx.pending.items():
+        for (name, index), (_, spec) in ctx.placements_in_flight.items():
             if ctx.view.entry(JobId(name), index) is None and JobId(name) in ctx.view.jobs:
                 quota.take(spec, 1)
         self.flying = {}
-        for key, index in ctx.pending:
+        for key, index in ctx.placements_in_flight:
             self.flying.setdefault(JobId(key), set()).add(index)
         queue = self.queue(quota)
         if queue:
@@ -119,7 +119,7 @@
         self._tell_reasons()
 
     def _deal_all(self, queue: list[Waiting], quota: Quota) -> None:
-        rooms = self.ctx.rooms()
+        rooms = self.ctx.available_machines()
         self.up = {r.kind.name for r in rooms if not r.spot}
         # Ordinary machines first to those that may use no others: a task that may run
         # on spot machines would sit where a gang or replica could be, and be stopped.
@@ -132,7 +132,7 @@
                 short |= not self._serve(wait, rooms, floor, quota)
         most = rooms
         if short:
-            needed = self.ctx.market().needed
+            needed = self.ctx.price_index().needed
             rooms = [r for r in rooms if r.spot or r.kind.name not in needed]
             floor = self._floor(rooms)
         for wait in large:
@@ -206,7 +206,7 @@
             job = ctx.view.jobs.get(name)
             if (
                 job
-                and ctx.wall - ctx.view.since(name, job) > 5.0
+                and ctx.wall_time - ctx.view.since(name, job) > 5.0
                 and self.logged_reasons.get(name) != why
             ):
                 log.info("%s waits: %s", name, why)
@@ -286,7 +286,7 @@
                 break
             if picker is None and not refused:
                 zones = self._zones(job)
-                market = self.ctx.market()
+                market = self.ctx.price_index()
                 picker = Picker(spec, rooms, zones, avoid=job.failed_on, market=market)
             room = picker.take() if picker else None
             if room is None:
@@ -325,7 +325,7 @@
         places: list[jobs.Task] = []
         deals: list[jobs.Dealt] = []
         for number, room in choices:
-            if room.owner == self.ctx.me:
+            if room.owner == self.ctx.own_name:
                 places.append(jobs.Task(number, 0, room.zone, room.id, room.session))
             else:
                 deals.append(jobs.Dealt(number, room.owner, room.zone, room.id))
@@ -344,7 +344,7 @@
         It stays for long where it starts. Seen: large machines boot first, and at the
         start all replicas took them, for the whole day, from tasks that fit no others.
         """
-        best = self.ctx.market().best(spec) if spec.shape == "standing" else None
+        best = self.ctx.price_index().best(spec) if spec.shape == "standing" else None
         if best is None or best in self.up:
             return False
         return any(build == best and not spot for build, _, spot in self.booting)
@@ -352,11 +352,11 @@
     def _deal(self, name: JobId, job: JobRecord, deals: list[jobs.Dealt]) -> None:
         ctx = self.ctx
         for task in deals:
-            ctx.pending[(name, task.number)] = (task.machine, job.spec)
+            ctx.placements_in_flight[(name, task.number)] = (task.machine, job.spec)
 
         def settled(ok: bool, why: str) -> None:
             for task in deals:
-                ctx.pending.pop((name, task.number), None)
+                ctx.placements_in_flight.pop((name, task.number), None)
             log.debug(
                 "deal %s: %s: %s", name, ",".join(f"{t.number}:{t.owner}" for t in deals),
                 why or "done",
@@ -388,7 +388,7 @@
             room.take(job.spec)
             room.draining = True
         quota.take(job.spec, job.spec.tasks)
-        missing = [r for r in plan if r.owner != self.ctx.me and not r.lent]
+        missing = [r for r in plan if r.owner != self.ctx.own_name and not r.lent]
         if missing:
             self.reasons[name] = "waiting for machines to be lent"
             for room in missing:
@@ -405,7 +405,7 @@
         plan = None
         if spec.tasks < least_refused:
             rooms = floor.holding(spec)
-            plan = gangs.fill(spec, rooms, self.ctx.market(), self._slack(wait))
+            plan = gangs.fill(spec, rooms, self.ctx.price_index(), self._slack(wait))
         if plan is None:
             self.gangs_refused[key] = min(least_refused, spec.tasks)
         return plan
@@ -431,12 +431,12 @@
 
         def settled(ok: bool, why: str) -> None:
             for number in range(job.spec.tasks):
-                ctx.pending.pop((name, number), None)
+                ctx.placements_in_flight.pop((name, number), None)
             log.info("gang %s on %s: %s", name, ",".join(r.id for r in plan), why or "placed")
 
         self._release(name, job)
         for number, room in enumerate(plan):
-            ctx.pending[(name, number)] = (room.id, job.spec)
+            ctx.placements_in_flight[(name, number)] = (room.id, job.spec)
         edit = Edit(
             job_key(name),
             jobs.place_gang(places),
@@ -459,7 +459,7 @@
 
     def _pauses(self) -> bool:
         """The moments in which old reservations hold nobody back."""
-        return self.ctx.wall % (KEEP_S + PAUSE_S) >= KEEP_S
+        return self.ctx.wall_time % (KEEP_S + PAUSE_S) >= KEEP_S
 
     def _may_grow(self, spec: Job) -> bool:
         """Are there machines that the job may use still to come?"""
@@ -475,7 +475,7 @@
         for room in floor.reserve(spec) if spec.gpus else ():
             # In this round only: keeps lesser work off.
             room.draining = room.reserved = True
-            if room.owner != self.ctx.me and room.tasks == 0:
+            if room.owner != self.ctx.own_name and room.tasks == 0:
                 self._want(room)
 
     def _end_attempt(self, name: JobId, job: JobRecord) -> None:
@@ -493,5 +493,5 @@
 
     def _want(self, room: Room) -> None:
         if room.id not in self.wanted:
-            self.ctx.tell = True
+            self.ctx.notify_peers = True
         self.wanted[room.id] = self.ctx.now + 2.0
--- a/coursefold/coordination/lease_renewal.py
+++ b/coursefold/coordination/lease_renewal.py
@@ -27,25 +27,25 @@
         nobody has the state service proves nothing by itself.
         """
         ctx = self.ctx
-        if ctx.my_record() is None:
+        if ctx.own_record() is None:
             return False
         # A lease counts from when the report was sent, which is before we answer it, and a
         # promise that we do not know of is younger than our last news. Seen: five seconds
         # held back here let a cut zone's leases end just before the cut did.
-        longest = ctx.longest_renewal()
-        silence = ctx.now - ctx.follow_ok_at
-        peers = [p for p in ctx.peers.values() if ctx.now - p.at < HEARD_S]
-        if silence > NEWS_S and any(p.state_age < SERVED_S for p in peers):
+        longest = ctx.max_renewal_s()
+        silence = ctx.now - ctx.watch_ok_at
+        peers = [p for p in ctx.peers.values() if ctx.now - p.last_frame_at < HEARD_S]
+        if silence > NEWS_S and any(p.state_age_s < SERVED_S for p in peers):
             return False  # only we are refused: let the others have our workers
         if (
             len(peers) == len(ctx.settings.siblings)
-            and all(p.state_age > SERVED_S for p in peers)
+            and all(p.state_age_s > SERVED_S for p in peers)
             and ctx.now - cancellations.known_until(ctx) < longest
         ):
             return True
         if peers and silence > NEWS_S:
-            self.sibling_heard_at_news = ctx.follow_ok_at
-        was_alone = self.sibling_heard_at_news != ctx.follow_ok_at
+            self.sibling_heard_at_news = ctx.watch_ok_at
+        was_alone = self.sibling_heard_at_news != ctx.watch_ok_at
         if not peers and ctx.settings.siblings and was_alone:
             # Neither the state service nor any sibling: the others, who may have both,
             # can take our workers over before their leases end, if we let them go.
@@ -60,7 +60,7 @@
         renewal an outage that begins just then would end the machine's tasks.
         """
         ctx = self.ctx
-        return ctx.my_record() is not None and (ctx.now - ctx.follow_ok_at < ctx.longest_renewal())
+        return ctx.own_record() is not None and (ctx.now - ctx.watch_ok_at < ctx.max_renewal_s())
 
     def stands_in_for(self, owner: str) -> bool:
         """Keep another's workers: it ended, and is back where no state service answers.
@@ -79,8 +79,8 @@
         return (
             peer is not None
             and member is not None
-            and ctx.now - ctx.follow_ok_at > max(NEWS_S, oldest)
-            and ctx.now - peer.at < HEARD_S
-            and peer.permit != member.permit
+            and ctx.now - ctx.watch_ok_at > max(NEWS_S, oldest)
+            and ctx.now - peer.last_frame_at < HEARD_S
+            and peer.lease_id != member.permit
             and self.may_renew()
         )
--- a/coursefold/coordination/owner.py
+++ b/coursefold/coordination/owner.py
@@ -6,13 +6,13 @@
 import logging
 
 from coursefold.coordination import cancellations
-from coursefold.coordination.commands import Commands
-from coursefold.coordination.context import DRIFT, Context, Machine
-from coursefold.coordination.effects import Answer
+from coursefold.coordination.commands import CommandPlanner
+from coursefold.coordination.context import LEASE_DRIFT_FACTOR, Context, Machine
+from coursefold.coordination.effects import Response
 from coursefold.coordination.election import Election
-from coursefold.coordination.hearing import Hearing
 from coursefold.coordination.lease_renewal import LeaseRenewal
 from coursefold.coordination.placing import Placing
+from coursefold.coordination.response_monitor import ResponseMonitor
 from coursefold.coordination.steps import Forward, Steps
 from coursefold.protocol.ids import parse_task
 from coursefold.protocol.wire import Order, Report
@@ -32,40 +32,42 @@
     def __init__(self, ctx: Context, election: Election, forward: Forward) -> None:
         self.ctx, self.election = ctx, election
         steps = Steps(ctx, forward)
-        self.hearing = Hearing(ctx)
-        self.renewal = LeaseRenewal(ctx)
-        self.commands = Commands(ctx, steps)
+        self.response_monitor = ResponseMonitor(ctx)
+        self.lease_renewal = LeaseRenewal(ctx)
+        self.command_planner = CommandPlanner(ctx, steps)
         self.placing = Placing(ctx, steps)
         self.swept_at = -1e9
         self.swept_token = -1
-        self.departed: dict[str, tuple[int, int]] = {}
+        self.departed_sequences: dict[str, tuple[int, int]] = {}
 
     # Reports
 
-    def report(self, report: Report, ticket: int) -> None:
+    def handle_report(self, report: Report, ticket: int) -> None:
         """Answer a report: 200 with commands, 421 with the owner, or 503."""
         ctx = self.ctx
         roster = ctx.view.roster
         if roster is None or not ctx.view.loaded:
             self._refuse(ticket)
             return
-        owner = ctx.owner(report.machine, report.zone)
-        if owner != ctx.me:
+        owner = ctx.owner_of(report.machine, report.zone)
+        if owner != ctx.own_name:
             if (
                 owner is not None
-                and self.renewal.stands_in_for(owner)
-                and report.token <= ctx.token_of(report.machine)
+                and self.lease_renewal.stands_in_for(owner)
+                and report.token <= ctx.machine_token(report.machine)
             ):
                 self._keep(report, ticket)
                 return
-            if ctx.now - ctx.follow_ok_at > ctx.news_age() or owner is None:
+            if ctx.now - ctx.watch_ok_at > ctx.max_view_age_s() or owner is None:
                 self._refuse(ticket)
                 return
             self.election.note_misdirected(owner, report.machine)
-            ctx.out.append(Answer(ticket, 421, {"Foreman": owner}))
+            ctx.effects.append(Response(ticket, 421, {"Foreman": owner}))
             return
         if not self._may_command(report.machine, report.token):
-            if report.token <= ctx.token_of(report.machine) and self._may_renew(report.machine):
+            if report.token <= ctx.machine_token(report.machine) and self._may_renew(
+                report.machine
+            ):
                 self._keep(report, ticket)
             else:
                 self._refuse(ticket)
@@ -73,21 +75,21 @@
         machine = self._machine(report)
         if machine is None or (report.session, report.counter) <= (
             machine.session,
-            machine.counter,
+            machine.sequence,
         ):
             self._refuse(ticket)  # late or reordered: its list is as old as it is
             return
-        self.hearing.check(machine, report)
+        self.response_monitor.check(machine, report)
         self._take(machine, report)
-        orders = self.commands.for_report(machine, report)
+        orders = self.command_planner.commands_for_report(machine, report)
         self._accept(machine, ticket, orders)
 
     def _may_command(self, machine: str, shown: int) -> bool:
         """May we decide on a machine of our part that has shown this token?"""
         ctx = self.ctx
         return (
-            shown <= ctx.token_of(machine)
-            and ctx.active()
+            shown <= ctx.machine_token(machine)
+            and ctx.is_active()
             and not ctx.ownership.is_behind(machine)
             and not ctx.ownership.is_released(machine)
         )
@@ -97,25 +99,27 @@
         if self.ctx.ownership.is_behind(machine):
             return False
         if self.ctx.ownership.is_released(machine):
-            return self.renewal.may_renew_released()
-        return not self.ctx.active() and self.renewal.may_renew()
+            return self.lease_renewal.may_renew_released()
+        return not self.ctx.is_active() and self.lease_renewal.may_renew()
 
     def _accept(self, machine: Machine, ticket: int, orders: list[Order]) -> None:
         """Answer a machine's report under its fencing token, which renews its lease."""
         ctx = self.ctx
-        machine.answered = ctx.now
-        body = {"Baton": ctx.token_of(machine.id), "Orders": orders}
-        ctx.out.append(Answer(ticket, 200, body))
+        machine.last_response_at = ctx.now
+        body = {"Baton": ctx.machine_token(machine.id), "Orders": orders}
+        ctx.effects.append(Response(ticket, 200, body))
 
     def _refuse(self, ticket: int) -> None:
-        self.ctx.out.append(Answer(ticket, 503, {"error": "not entitled"}, retry_after=1))
+        self.ctx.effects.append(Response(ticket, 503, {"error": "not entitled"}, retry_after=1))
 
     def _machine(self, report: Report) -> Machine | None:
         """The machine that reports; None if this is a late copy from one that has left."""
         ctx = self.ctx
         machine = ctx.machines.get(report.machine)
         if machine is None:
-            if (report.session, report.counter) <= self.departed.get(report.machine, (-1, -1)):
+            if (report.session, report.counter) <= self.departed_sequences.get(
+                report.machine, (-1, -1)
+            ):
                 return None
             machine = Machine(report.machine, report.build, report.zone, report.spot)
             machine.idle_since = ctx.now
@@ -123,19 +127,19 @@
             log.info(
                 "machine %s (%s, %s%s) reports",
                 machine.id,
-                machine.build,
+                machine.machine_type,
                 machine.zone,
                 ", spot" * machine.spot,
             )
         return machine
 
-    def depart(self, machine: str) -> None:
+    def remove_machine(self, machine: str) -> None:
         """A machine of our part is no more. What of its reports comes late is told by this."""
         known = self.ctx.machines.pop(machine, None)
         if known is not None:
-            self.departed[machine] = (known.session, known.counter)
-            while len(self.departed) > DEPARTED:
-                del self.departed[next(iter(self.departed))]
+            self.departed_sequences[machine] = (known.session, known.sequence)
+            while len(self.departed_sequences) > DEPARTED:
+                del self.departed_sequences[next(iter(self.departed_sequences))]
 
     def _keep(self, report: Report, ticket: int) -> None:
         """Renew a lease and command nothing but the end of cancelled tasks."""
@@ -143,7 +147,7 @@
         machine = self._machine(report)
         if machine is None or (report.session, report.counter) <= (
             machine.session,
-            machine.counter,
+            machine.sequence,
         ):
             self._refuse(ticket)
             return
@@ -160,18 +164,18 @@
         """Note what the report shows."""
         ctx = self.ctx
         if report.session != machine.session:
-            machine.running.clear()
+            machine.running_since.clear()
             machine.stops_sent.clear()
             machine.images.clear() if machine.session == 0 else None
-        machine.session, machine.counter, machine.token = (
+        machine.session, machine.sequence, machine.token = (
             report.session,
             report.counter,
             report.token,
         )
-        machine.heard, machine.addr, machine.lost = ctx.now, report.addr, False
+        machine.last_report_at, machine.address, machine.lease_expired = ctx.now, report.addr, False
         if report.recall is not None and machine.recall_at is None:
             log.info("machine %s will be taken in %.1f s", machine.id, report.recall)
-            ctx.tell = True
+            ctx.notify_peers = True
         machine.recall_at = None if report.recall is None else ctx.now + report.recall
         machine.tasks = {}
         for item in report.tasks:
@@ -182,13 +186,13 @@
             machine.tasks[(task.job, task.number)] = item
             job = ctx.view.jobs.get(task.job)
             if job is not None and item.state in ("running", "gathering", "flushing"):
-                kind = ctx.kind(machine.build)
+                kind = ctx.machine_type(machine.machine_type)
                 machine.remember_image(
                     job.spec.image, job.spec.image_gb, kind.cache_gb if kind else 0.0
                 )
             attempt = (task.job, task.number, item.attempt)
-            if item.state == "running" and attempt not in machine.running:
-                machine.running[attempt] = ctx.now
+            if item.state == "running" and attempt not in machine.running_since:
+                machine.running_since[attempt] = ctx.now
                 log.debug("task %s#%d on %s runs", item.task, item.attempt, machine.id)
         if machine.tasks or ctx.view.on_machine(machine.id):
             machine.idle_since = ctx.now
@@ -200,12 +204,12 @@
         ctx = self.ctx
         moved, ctx.view.moved = ctx.view.moved, {}
         cancellations.prune(ctx)
-        if not ctx.active():
+        if not ctx.is_active():
             return
         for name in moved:
             machine = ctx.machines.get(name)
-            if machine is not None and not machine.lost:
-                self.commands.stop_now(machine)
+            if machine is not None and not machine.lease_expired:
+                self.command_planner.send_stops(machine)
         if ctx.now - self.swept_at >= SWEEP_S or self.swept_token != ctx.view.token:
             self.swept_at, self.swept_token = ctx.now, ctx.view.token
             self._sweep()
@@ -214,8 +218,8 @@
     def _sweep(self) -> None:
         """Which of our machines are silent."""
         ctx = self.ctx
-        lease = ctx.settings.params.workers.lease_s * DRIFT + 0.5
-        alive = ctx.alive_within()
+        lease = ctx.settings.params.workers.lease_s * LEASE_DRIFT_FACTOR + 0.5
+        alive = ctx.max_report_age_s()
         for machine in list(ctx.machines.values()):
             if not ctx.owns(machine.id, machine.zone):
                 del ctx.machines[machine.id]
@@ -224,27 +228,29 @@
                 continue  # another may renew its lease by now: silence towards us proves nothing
             # Counted from the roster's change: an owner that was cut off and comes
             # back has not heard what its stand-in heard, and must not give it up.
-            quiet = ctx.now - max(machine.heard, machine.answered, ctx.token_since)
-            if quiet > lease and not machine.lost:
-                machine.lost = True
+            quiet = ctx.now - max(
+                machine.last_report_at, machine.last_response_at, ctx.token_seen_at
+            )
+            if quiet > lease and not machine.lease_expired:
+                machine.lease_expired = True
                 log.info("machine %s: silent for %.1f s", machine.id, quiet)
-            if machine.lost:
+            if machine.lease_expired:
                 self._expire(machine)
             # Written once as a chained comparison, which turned the mark over at every look:
             # half of the machines that had fallen silent for a moment stayed marked for good,
             # took no tasks from the leader, and were never returned.
-            machine.quiet = ctx.now - machine.heard > alive
+            machine.unresponsive = ctx.now - machine.last_report_at > alive
             if quiet > FORGET_S and not ctx.view.on_machine(machine.id):
-                self.depart(machine.id)
+                self.remove_machine(machine.id)
 
-    def stop_handed(self) -> None:
+    def stop_peer_cancelled_tasks(self) -> None:
         """Stop what a sibling says is cancelled, also while we may decide nothing else.
 
         A worker that does not report to us now gets the word all the same; one that has
         seen a higher token than ours ignores it.
         """
         ctx = self.ctx
-        names, ctx.handed_now = ctx.handed_now, []
+        names, ctx.new_peer_cancellations = ctx.new_peer_cancellations, []
         places = {
             entry.machine: None
             for name in names
@@ -253,7 +259,7 @@
         }
         for place in places:
             if (machine := ctx.machines.get(place)) is not None:
-                self.commands.stop_now(machine)
+                self.command_planner.send_stops(machine)
 
     def _expire(self, machine: Machine) -> None:
         """Its lease is over: nobody but us could renew it, and we did not.
@@ -262,8 +268,8 @@
         off from the state service, but not from the worker, may have answered it.
         """
         ctx = self.ctx
-        if machine.token != ctx.token_of(machine.id):
+        if machine.token != ctx.machine_token(machine.id):
             return
         for job_id, entry in ctx.view.on_machine(machine.id):
             if entry.stage != DEALT:
-                self.commands.gone(job_id, entry, machine)
+                self.command_planner.propose_gone(job_id, entry, machine)
--- a/coursefold/coordination/ownership.py
+++ b/coursefold/coordination/ownership.py
@@ -24,8 +24,8 @@
 class Release(NamedTuple):
     """The record and the roster under which we stopped acting for a machine."""
 
-    stamp: int
-    roster: int
+    version: int
+    roster_token: int
 
 
 class OwnershipTable:
@@ -38,7 +38,7 @@
         self._incarnations: dict[str, int] = {}
         self._incarnations_at = -1
 
-    def observe(self, now: Moment) -> list[str]:
+    def observe_changes(self, now: Moment) -> list[str]:
         """Note records that have changed; the machines of which the token has."""
         if not self.view.ownership_changed:
             return []
@@ -55,7 +55,7 @@
                 moved.append(machine)
         return moved
 
-    def assigned(self, machine: str) -> str | None:
+    def assigned_owner(self, machine: str) -> str | None:
         """The owner that a handover has set; None where the hash decides.
 
         The assignment ends with the owner's process: what it knew of the machine is lost, and
@@ -102,7 +102,7 @@
         record = self.view.ownership.get(machine)
         return record is not None and record.stage == MoveStage.DRAINING and wall < record.until
 
-    def move(self, machine: str) -> MachineOwnership | None:
+    def move_in_progress(self, machine: str) -> MachineOwnership | None:
         """The machine's record while a move is under way."""
         record = self.view.ownership.get(machine)
         return record if record is not None and record.stage == MoveStage.DRAINING else None
--- a/coursefold/coordination/placing.py
+++ b/coursefold/coordination/placing.py
@@ -27,7 +27,7 @@
     def place(self) -> None:
         """Find machines in our part for the tasks dealt to us."""
         ctx = self.ctx
-        dealt = ctx.view.dealt.get(ctx.me)
+        dealt = ctx.view.dealt.get(ctx.own_name)
         if not dealt:
             self.dealt_since.clear()
             return
@@ -36,7 +36,8 @@
         mine = [
             (name, job, e)
             for (name, _), e in dealt.items()
-            if (name, e.index) not in ctx.pending and (job := ctx.view.jobs[name]).status == LIVE
+            if (name, e.index) not in ctx.placements_in_flight
+            and (job := ctx.view.jobs[name]).status == LIVE
         ]
         if not mine:
             return
@@ -46,17 +47,17 @@
         found: dict[JobId, list[jobs.Task]] = {}
         for name, job, entry in mine:
             # The hint's own share is what we look for: its room counts as taken for us.
-            room = ctx.room(entry.machine)
+            room = ctx.machine_capacity(entry.machine)
             if room is not None and self._fits(room, entry, extra.get(room.id, ())):
                 found.setdefault(name, []).append(
                     jobs.Task(entry.index, 0, room.zone, room.id, room.session)
                 )
                 continue
             if rooms is None:
-                rooms = ctx.rooms(mine_only=True)
+                rooms = ctx.available_machines(mine_only=True)
             room = None
             if not refused.covers(job.spec, entry.zone):
-                room = Picker(job.spec, rooms, zone=entry.zone, market=ctx.market()).take()
+                room = Picker(job.spec, rooms, zone=entry.zone, market=ctx.price_index()).take()
                 if room is None:
                     refused.add(job.spec, entry.zone)
             if room is not None:
@@ -75,7 +76,7 @@
         """What is about to be placed where the records do not show it yet, by machine."""
         ctx = self.ctx
         found: dict[str, list[Job]] = {}
-        for (name, index), (machine, spec) in ctx.pending.items():
+        for (name, index), (machine, spec) in ctx.placements_in_flight.items():
             entry = ctx.view.entry(JobId(name), index)
             if entry is None or entry.machine != machine:
                 found.setdefault(machine, []).append(spec)
@@ -96,16 +97,16 @@
         """Write a job's new places, all at once; until then they count as taken."""
         ctx = self.ctx
         for task in tasks:
-            ctx.pending[(name, task.number)] = (task.machine, job.spec)
+            ctx.placements_in_flight[(name, task.number)] = (task.machine, job.spec)
 
         def settled(ok: bool, why: str) -> None:
             for task in tasks:
-                ctx.pending.pop((name, task.number), None)
+                ctx.placements_in_flight.pop((name, task.number), None)
             where = ",".join(f"{t.number}:{t.machine}" for t in tasks)
             if ok:
                 log.info("place %s on %s", name, where)
             else:
                 log.debug("place %s on %s: %s", name, where, why)
 
-        step = jobs.Step("place", tuple(tasks), ctx.me)
+        step = jobs.Step("place", tuple(tasks), ctx.own_name)
         self.steps.write(name, step, "", SOON, settled)
--- a/coursefold/coordination/pools.py
+++ b/coursefold/coordination/pools.py
@@ -52,13 +52,13 @@
     def plan(self, catalog: Catalog, elapsed: float) -> None:
         """One step of all loops."""
         ctx = self.ctx
-        for lane, seconds in ctx.finished:
+        for lane, seconds in ctx.finished_runs:
             self.runs.add(lane, seconds, ctx.now)
-        ctx.finished.clear()
+        ctx.finished_runs.clear()
         losses = {pool: lost.rate(ctx.now) for pool, lost in self.inventory.losses.items()}
         planner = Planner(
             catalog, self.runs, ctx.now, self.hires.blocked, losses,
-            self.parameters.arrivals_window, ctx.market(),
+            self.parameters.arrivals_window, ctx.price_index(),
         )  # fmt: skip
         self._count_machines(planner)
         self._count_arrivals(planner)
@@ -92,10 +92,10 @@
             if name in self.arrivals or ctx.view.needs.holds(name) or not job.may_start:
                 continue
             since = ctx.view.since(name, job)
-            if ctx.wall - since < window:
+            if ctx.wall_time - since < window:
                 self.arrivals[name] = (since, job.spec)
         for seen, (at, spec) in list(self.arrivals.items()):
-            if ctx.wall - at > window:
+            if ctx.wall_time - at > window:
                 del self.arrivals[seen]
             else:
                 planner.arrived(spec, min(spec.tasks, COUNTED_TASKS))
@@ -138,10 +138,10 @@
         """Free room now, and the machines that are about to be up."""
         ctx = self.ctx
         inventory = self.inventory
-        rooms = [r for r in ctx.rooms() if r.id not in inventory.returning]
+        rooms = [r for r in ctx.available_machines() if r.id not in inventory.returning]
         have = {r.id for r in rooms}
         for machine in inventory.machines.values():
-            kind = ctx.kind(machine.build)
+            kind = ctx.machine_type(machine.build)
             if machine.id in have or machine.id in inventory.returning:
                 continue
             if machine.up and not inventory.is_changing_hands(machine):
@@ -151,7 +151,7 @@
         for room in rooms:
             if room.lent and room.id in self.leader.wanted:
                 room.lent = False
-            if ctx.ownership.move(room.id) is not None:
+            if ctx.ownership.move_in_progress(room.id) is not None:
                 room.draining = False  # it stays ours: a move rents nothing
         return rooms
 
@@ -207,7 +207,7 @@
             return Adjustment()
         waits = [
             ctx.now - room.idle_since
-            for room in ctx.rooms()
+            for room in ctx.available_machines()
             if (room.kind.name, room.spot) == pool and room.tasks == 0
         ]
         env: Env = {
@@ -269,7 +269,7 @@
         """Return machines that are empty and have been for a while."""
         ctx = self.ctx
         inventory = self.inventory
-        rooms = {r.id: r for r in ctx.rooms()}
+        rooms = {r.id: r for r in ctx.available_machines()}
         spare = [
             machine
             for machine in inventory.machines.values()
--- a/coursefold/coordination/preemption.py
+++ b/coursefold/coordination/preemption.py
@@ -100,7 +100,7 @@
         on = [
             (name, e, ctx.view.jobs[name])
             for name, e in ctx.view.on_machine(room.id)
-            if (name, e.index) not in ctx.pending
+            if (name, e.index) not in ctx.placements_in_flight
         ]
         if any(e.stage == STOPPING for _, e, _ in on):
             return None  # room is being made here already
--- a/coursefold/coordination/whereabouts.py
+++ b/coursefold/coordination/remote_placement.py
@@ -3,7 +3,7 @@
 from coursefold.storage.cell_records import Away, AwayStage
 
 
-def away_reason(away: Away, wall: float) -> str:
+def describe_remote_placement(away: Away, wall: float) -> str:
     """Where the job is and why, for polls; empty for one that was never elsewhere."""
     since = max(0.0, wall - away.at)
     waits = f"expected wait here {away.expected_here:.0f} s, there {away.expected_there:.0f} s"
--- a/coursefold/coordination/requests.py
+++ b/coursefold/coordination/requests.py
@@ -14,10 +14,10 @@
 
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
-from coursefold.coordination.effects import Answer, Read, Vouch
+from coursefold.coordination.effects import ReadJobResult, RefreshView, Response
 from coursefold.coordination.placement import fits_type
 from coursefold.coordination.quota import limit_fits
-from coursefold.coordination.whereabouts import away_reason
+from coursefold.coordination.remote_placement import describe_remote_placement
 from coursefold.protocol.ids import JobId, is_job_id
 from coursefold.protocol.wire import Job, MalformedError, decode_job
 from coursefold.storage import records
@@ -71,7 +71,7 @@
         return self.ctx.now - self.ctx.state_ok_at > STATE_SILENCE_S
 
     def _later(self, ticket: int, why: str, seconds: int = 1) -> None:
-        self.ctx.out.append(Answer(ticket, 503, {"error": why}, retry_after=seconds))
+        self.ctx.effects.append(Response(ticket, 503, {"error": why}, retry_after=seconds))
 
     def resolve(self) -> None:
         """Read the endings of jobs that others need and that we do not hold.
@@ -84,7 +84,7 @@
         for need in self.view.unresolved()[:RESOLVING]:
             self.resolving -= 1  # tickets of our own are negative
             self.asking[self.resolving] = Question(Purpose.RESOLVE, need, None)
-            self.ctx.out.append(Read(self.resolving, need))
+            self.ctx.effects.append(ReadJobResult(self.resolving, need))
 
     def submit(self, body: bytes, ticket: int) -> None:
         """POST /work."""
@@ -92,7 +92,7 @@
             spec = decode_job(body)
         except MalformedError as wrong:
             log.info("submission refused: %s", wrong)
-            self.ctx.out.append(Answer(ticket, 400, {"error": str(wrong)}))
+            self.ctx.effects.append(Response(ticket, 400, {"error": str(wrong)}))
             return
         if not self.view.loaded or self.state_silent():
             self._later(ticket, "no state service", 2)
@@ -137,13 +137,13 @@
                 self._later(ticket, f"the record of {need} can not be read")
             else:
                 self.asking[ticket] = Question(Purpose.NEED, need, spec)
-                self.ctx.out.append(Read(ticket, need))
+                self.ctx.effects.append(ReadJobResult(ticket, need))
             return
         self._accept(spec, ticket)
 
     def _reject(self, ticket: int, spec: Job, why: str) -> None:
         log.info("refuse %s: %s", spec.name, why)
-        self.ctx.out.append(Answer(ticket, 422, {"error": why}))
+        self.ctx.effects.append(Response(ticket, 422, {"error": why}))
 
     def _unclear(self, job: JobId) -> bool:
         """Is there a record of the job that we can not read, or not yet?"""
@@ -157,7 +157,9 @@
                     "accept %s: %d tasks of %s for %s (%g cpus, %g accelerators, %g GB each)",
                     spec.name, spec.tasks, spec.lane, spec.team, spec.cpus, spec.gpus, spec.memory,
                 )  # fmt: skip
-                self.ctx.out.append(Answer(ticket, 201, {"NameId": spec.name, "Status": "pending"}))
+                self.ctx.effects.append(
+                    Response(ticket, 201, {"NameId": spec.name, "Status": "pending"})
+                )
             elif why == "too large" and self.queue.later and not self.view.level:
                 self._later(ticket, "no room for so long a description before the upgrade", 5)
             elif why == "unreadable":
@@ -165,7 +167,7 @@
             elif why == "refused":
                 self._later(ticket, "the state service does not take it", 5)
             elif why == "too large":
-                self.ctx.out.append(Answer(ticket, 400, {"error": "description too large"}))
+                self.ctx.effects.append(Response(ticket, 400, {"error": "description too large"}))
             else:
                 self._ask(ticket, Purpose.SUBMIT, spec.name, None)
 
@@ -177,7 +179,7 @@
         fates = {need: self.view.fate(JobId(need)) for need in spec.prereqs or ()}
         change = jobs.accept(
             spec,
-            self.ctx.wall,
+            self.ctx.wall_time,
             [need for need, fate in fates.items() if fate != records.DONE],
             records.CANCELLED in fates.values(),
         )
@@ -209,7 +211,7 @@
             self.read(ticket, ending)
             return
         self.questions.append(ticket)
-        self.ctx.out.append(Vouch())
+        self.ctx.effects.append(RefreshView())
 
     def vouched(self, tickets: list[int]) -> None:
         """The view is now as new as these questions."""
@@ -228,12 +230,12 @@
                 self.asking.pop(ticket, None)
                 self._later(ticket, "the job's record can not be read")
             else:
-                self.ctx.out.append(Read(ticket, job))  # ended long ago, or unknown
+                self.ctx.effects.append(ReadJobResult(ticket, job))  # ended long ago, or unknown
 
     def poll(self, job: str, ticket: int) -> None:
         """GET /work/{id}: read through, for another node may have said something newer."""
         if not is_job_id(job):
-            self.ctx.out.append(Answer(ticket, 404, {"error": "no such job"}))
+            self.ctx.effects.append(Response(ticket, 404, {"error": "no such job"}))
             return
         if self.state_silent():
             self._later(ticket, "no state service", 2)
@@ -246,7 +248,7 @@
     def cancel(self, job: str, ticket: int) -> None:
         """POST /work/{id}/cancel."""
         if not is_job_id(job):
-            self.ctx.out.append(Answer(ticket, 404, {"error": "no such job"}))
+            self.ctx.effects.append(Response(ticket, 404, {"error": "no such job"}))
             return
         if not self.view.loaded or self.state_silent():
             self._later(ticket, "no state service", 2)
@@ -260,7 +262,9 @@
         def settled(ok: bool, why: str) -> None:
             if ok or why == "cancelled":
                 log.info("cancel %s", job)
-                self.ctx.out.append(Answer(ticket, 200, {"NameId": job, "Status": "cancelled"}))
+                self.ctx.effects.append(
+                    Response(ticket, 200, {"NameId": job, "Status": "cancelled"})
+                )
             else:
                 self._ask(ticket, Purpose.OVER, job, None)
 
@@ -299,7 +303,7 @@
                 "done": done,
                 "running": 0,
             }
-            self.ctx.out.append(Answer(ticket, 200, body))
+            self.ctx.effects.append(Response(ticket, 200, body))
             return
         if self._undecided(JobId(name), found):
             self._later(ticket, "what the job needs has to be read first")
@@ -311,14 +315,16 @@
         if what is Purpose.OVER and found.status == records.LIVE and not doomed:
             self._later(ticket, "conflicting changes")
             return
-        self.ctx.out.append(Answer(ticket, 200, self.describe(name, found)))
+        self.ctx.effects.append(Response(ticket, 200, self.describe(name, found)))
 
     def _not_ours(self, ticket: int, what: Purpose, home: str) -> None:
         """The job is here for another cell, which alone answers its user."""
         if what is Purpose.SUBMIT:
             self._later(ticket, f"the id is in use by a job of cell {home}", 5)
         else:
-            self.ctx.out.append(Answer(ticket, 404, {"error": f"a job of cell {home}: ask there"}))
+            self.ctx.effects.append(
+                Response(ticket, 404, {"error": f"a job of cell {home}: ask there"})
+            )
 
     def _unknown(self, ticket: int, what: Purpose, spec: Job | None) -> None:
         if what is Purpose.SUBMIT and spec is not None:
@@ -330,7 +336,7 @@
         elif what is Purpose.SUBMIT:
             self._later(ticket, "not accepted yet")
         else:
-            self.ctx.out.append(Answer(ticket, 404, {"error": "no such job"}))
+            self.ctx.effects.append(Response(ticket, 404, {"error": "no such job"}))
 
     def describe(self, name: str, job: JobRecord) -> dict[str, Any]:
         """A live job's state as its user sees it."""
@@ -374,21 +380,21 @@
             return f"waiting for {', '.join(islice(left, NAMED))}{more} to be done"
         away = self.view.away.get(JobId(name))
         if away is not None and away.away is not None:
-            return away_reason(away.away, ctx.wall)
+            return describe_remote_placement(away.away, ctx.wall_time)
         reason = self._leaders_reason(name)
         job = self.view.jobs.get(JobId(name))
         if reason and job is not None and job.away is not None:
-            return f"{reason}; {away_reason(job.away, ctx.wall)}"
+            return f"{reason}; {describe_remote_placement(job.away, ctx.wall_time)}"
         return reason
 
     def _leaders_reason(self, name: str) -> str:
         """The leader's word, here or as it told us."""
         ctx = self.ctx
-        if ctx.leading():
+        if ctx.is_leading():
             return self.reasons().get(JobId(name), "")
         roster = self.view.roster
         peer = ctx.peers.get(roster.leader) if roster else None
-        if peer is None or ctx.now - peer.at > 5.0:
+        if peer is None or ctx.now - peer.last_frame_at > 5.0:
             return "nobody leads at the moment"
         return peer.reasons.get(name, "")
 
--- a/coursefold/coordination/hearing.py
+++ b/coursefold/coordination/response_monitor.py
@@ -13,7 +13,7 @@
 UNHEARD_GAP_ALONE_S = 4.5  # it waits 4 s for an answer
 
 
-class Hearing:
+class ResponseMonitor:
     """Tells machines that hear us from those whose reports alone arrive."""
 
     def __init__(self, ctx: Context) -> None:
@@ -29,27 +29,28 @@
         while one that was cut off both ways sends what was held back all at once.
         """
         ctx = self.ctx
-        gap = ctx.now - machine.heard if machine.session else 0.0
-        hears = machine.hears if gap < HELD_S else gap < self._longest_gap()
-        proven = report.token == ctx.token_of(machine.id) or (
-            machine.proven and report.session == machine.session
+        gap = ctx.now - machine.last_report_at if machine.session else 0.0
+        hears = machine.receives_responses if gap < HELD_S else gap < self._longest_gap()
+        proven = report.token == ctx.machine_token(machine.id) or (
+            machine.token_confirmed and report.session == machine.session
         )
-        if (hears, proven) != (machine.hears, machine.proven):
-            ctx.tell = True
+        if (hears, proven) != (machine.receives_responses, machine.token_confirmed):
+            ctx.notify_peers = True
         if hears:
-            machine.deaf_since = None
-            if machine.deaf:
-                machine.deaf = False
+            machine.no_response_since = None
+            if machine.responses_lost:
+                machine.responses_lost = False
                 log.info("machine %s hears us again", machine.id)
-        elif machine.deaf_since is None:
-            machine.deaf_since = ctx.now
+        elif machine.no_response_since is None:
+            machine.no_response_since = ctx.now
         elif (
-            not machine.deaf
-            and ctx.now - machine.deaf_since > DEAF_LEASES * ctx.settings.params.workers.lease_s
+            not machine.responses_lost
+            and ctx.now - machine.no_response_since
+            > DEAF_LEASES * ctx.settings.params.workers.lease_s
         ):
-            machine.deaf = ctx.tell = True
+            machine.responses_lost = ctx.notify_peers = True
             log.info("machine %s reports, but does not hear us", machine.id)
-        machine.hears, machine.proven = hears, proven
+        machine.receives_responses, machine.token_confirmed = hears, proven
 
     def _longest_gap(self) -> float:
         """Reports to one node that come no sooner than this may be of a worker without answers."""
--- a/coursefold/coordination/steps.py
+++ b/coursefold/coordination/steps.py
@@ -23,7 +23,9 @@
     ) -> bool:  # fmt: skip
         """Have one task's step written; False if it is under way already."""
         task = jobs.Task(entry.index, entry.attempt, machine=machine)
-        return self.write(job_id, jobs.Step(kind, (task,), self.ctx.me, self.ctx.wall), tag, rank)
+        return self.write(
+            job_id, jobs.Step(kind, (task,), self.ctx.own_name, self.ctx.wall_time), tag, rank
+        )
 
     def write(
         self,
--- a/coursefold/coordination/summary.py
+++ b/coursefold/coordination/summary.py
@@ -96,16 +96,18 @@
     def _make(self) -> dict[str, Row]:
         ctx = self.ctx
         rows: dict[str, Row] = {}
-        if not ctx.active():
+        if not ctx.is_active():
             return rows
         for m in ctx.machines.values():
             # One that has not shown our token may be a late copy of an old report.
-            if m.proven and ctx.owns(m.id, m.zone):
+            if m.token_confirmed and ctx.owns(m.id, m.zone):
                 idle = not m.tasks and not ctx.view.occupies(m.id)
                 rows[m.id] = Row(
-                    m.build, m.zone, m.spot, m.session, m.heard if m.quiet else None,
-                    m.recall_at is not None or not m.hears, m.sick, m.lent_until > ctx.now,
-                    m.idle_since if idle else None, m.lost, m.deaf, tuple(m.images),
+                    m.machine_type, m.zone, m.spot, m.session,
+                    m.last_report_at if m.unresponsive else None,
+                    m.recall_at is not None or not m.receives_responses, m.quarantined,
+                    m.gang_reservation_until > ctx.now, m.idle_since if idle else None,
+                    m.lease_expired, m.responses_lost, tuple(m.images),
                 )  # fmt: skip
         return rows
 
@@ -122,7 +124,7 @@
 
     def begin(self) -> None:
         """A new connection: the sibling may have nothing yet."""
-        self.link = float(self.ctx.wall)
+        self.link = float(self.ctx.wall_time)
         self.seq = 0
         self.full = True
         self.told_at = -1e9
@@ -141,7 +143,11 @@
             return b""
         self.seq += 1
         out = peer_pb2.Envelope(
-            version=VERSION, sender=ctx.me, sent_at=ctx.wall, link=self.link, seq=self.seq
+            version=VERSION,
+            sender=ctx.own_name,
+            sent_at=ctx.wall_time,
+            link=self.link,
+            seq=self.seq,
         )
         out.proposals.extend(self.proposals)
         out.outcomes.extend(self.outcomes)
@@ -160,8 +166,8 @@
         reasons: dict[JobId, str],
     ) -> None:
         ctx = self.ctx
-        body.token = ctx.view.token if ctx.active() else 0
-        body.permit = ctx.permit
+        body.token = ctx.view.token if ctx.is_active() else 0
+        body.permit = ctx.lease_id
         body.state_age_s = max(0.0, ctx.now - ctx.state_ok_at)
         body.wanted.extend(sorted(wanted))
         body.complaints.extend(sorted(unreachable))
@@ -169,13 +175,13 @@
         if ctx.view.loaded:
             cancellations.tell(ctx, self.member, body.cancellations)
         self._tell_rows(body)
-        if ctx.leading():
+        if ctx.is_leading():
             self._tell_reasons(body, reasons)
         elif ctx.roster is not None and ctx.roster.leader == self.member:
-            for lane, seconds in ctx.finished[:FINISHED]:
+            for lane, seconds in ctx.finished_runs[:FINISHED]:
                 body.finished.add(lane=lane, seconds=seconds, tasks=1)
-            del ctx.finished[:FINISHED]
-        del ctx.finished[:-FINISHED_KEPT]
+            del ctx.finished_runs[:FINISHED]
+        del ctx.finished_runs[:-FINISHED_KEPT]
 
     def _tell_rows(self, body: peer_pb2.Summary) -> None:
         """Rows that changed, as many as a frame has room for; the rest in the next one.
@@ -239,14 +245,16 @@
         log.error("peer frame of unknown member %r dropped", envelope.sender[:40])
         return None
     skew = ctx.settings.params.skew_ms / 1000.0
-    if abs(ctx.wall - envelope.sent_at) > LATE_S + 2 * skew:
-        log.debug("peer frame of %s is %.1f s old", envelope.sender, ctx.wall - envelope.sent_at)
+    if abs(ctx.wall_time - envelope.sent_at) > LATE_S + 2 * skew:
+        log.debug(
+            "peer frame of %s is %.1f s old", envelope.sender, ctx.wall_time - envelope.sent_at
+        )
         return None
     known = ctx.peers.get(envelope.sender)
-    if known is None or envelope.link > known.link:
+    if known is None or envelope.link > known.connection_started_at:
         if not (envelope.HasField("summary") and envelope.summary.full):
             return None
-    elif envelope.link < known.link or envelope.seq != known.seq + 1:
+    elif envelope.link < known.connection_started_at or envelope.seq != known.sequence + 1:
         # A held or repeated frame, or one after a gap: what is newer stands.
         log.debug("peer frame %d of %s out of order", envelope.seq, envelope.sender)
         return None
@@ -256,38 +264,42 @@
 def take(ctx: Context, envelope: peer_pb2.Envelope) -> None:
     """Note what a sibling's frame says."""
     view = ctx.peers.get(envelope.sender)
-    if view is None or envelope.link > view.link:
+    if view is None or envelope.link > view.connection_started_at:
         before = view
         view = ctx.peers[envelope.sender] = PeerView(envelope.sender, envelope.link)
         if before is not None:
-            view.inherit(before)
-    view.seq = envelope.seq
-    view.at = ctx.now
+            view.copy_member_state(before)
+    view.sequence = envelope.seq
+    view.last_frame_at = ctx.now
     if not envelope.HasField("summary"):
         return
     body = envelope.summary
-    if body.permit != view.permit:
-        view.permit, view.permit_at = body.permit, ctx.now
+    if body.permit != view.lease_id:
+        view.lease_id, view.lease_id_seen_at = body.permit, ctx.now
     view.token = body.token
-    view.state_age = body.state_age_s + max(0.0, ctx.wall - envelope.sent_at)
+    view.state_age_s = body.state_age_s + max(0.0, ctx.wall_time - envelope.sent_at)
     if body.HasField("cancellations"):
         skew = 2.0 * ctx.settings.params.skew_ms / 1000.0
-        late = max(0.0, ctx.wall - envelope.sent_at + skew)
+        late = max(0.0, ctx.wall_time - envelope.sent_at + skew)
         cancellations.take(ctx, view, body.cancellations, Moment(ctx.now - late))
     for item in body.machines:
         machine = PeerMachine(
             item.id, item.build, item.zone, item.spot, item.session, ctx.now - item.silent_s
         )
-        machine.draining, machine.sick, machine.lost = item.draining, item.sick, item.lost
-        machine.quiet, machine.deaf = item.quiet, item.deaf
-        machine.lent, machine.idle = item.lent, item.idle
+        machine.draining, machine.quarantined, machine.lease_expired = (
+            item.draining,
+            item.sick,
+            item.lost,
+        )
+        machine.unresponsive, machine.responses_lost = item.quiet, item.deaf
+        machine.reserved_for_gang, machine.idle = item.lent, item.idle
         machine.idle_since = ctx.now - item.idle_s
         machine.images = frozenset(item.images)
         view.machines[item.id] = machine
     for id in body.dropped:
         view.machines.pop(id, None)
-    view.complete = not body.more
-    view.wanted = frozenset(body.wanted)
+    view.is_complete = not body.more
+    view.requested_machines = frozenset(body.wanted)
     view.unreachable_for_workers = frozenset(body.complaints)
     for name, why in body.reasons.items():
         if why:
@@ -295,10 +307,10 @@
         else:
             view.reasons.pop(name, None)
     for done in body.finished:
-        ctx.finished.append((done.lane, done.seconds))
+        ctx.finished_runs.append((done.lane, done.seconds))
     roster = ctx.view.roster
     if roster is not None and roster.leader == envelope.sender and body.token == ctx.view.token:
-        lend(ctx, view.wanted)
+        lend(ctx, view.requested_machines)
 
 
 def lend(ctx: Context, wanted: frozenset[str]) -> None:
@@ -310,11 +322,11 @@
     """
     if not wanted:
         return
-    planned = {machine for machine, _ in ctx.pending.values()}
+    planned = {machine for machine, _ in ctx.placements_in_flight.values()}
     for name in wanted:
         m = ctx.machines.get(name)
         if m is None or not ctx.owns(m.id, m.zone) or name in planned:
             continue
-        if m.lent_until <= ctx.now:
-            ctx.tell = True
-        m.lent_until = Moment(ctx.now + 4.0)
+        if m.gang_reservation_until <= ctx.now:
+            ctx.notify_peers = True
+        m.gang_reservation_until = Moment(ctx.now + 4.0)
--- a/coursefold/coordination/upgrade.py
+++ b/coursefold/coordination/upgrade.py
@@ -61,17 +61,17 @@
     def announce(self) -> None:
         """Write down what this process can read, in the transaction in which it joins."""
         ctx = self.ctx
-        mine = Version(self.level, ctx.permit)
-        if not ctx.permit or ctx.view.versions.get(ctx.me) == mine:
+        mine = Version(self.level, ctx.lease_id)
+        if not ctx.lease_id or ctx.view.versions.get(ctx.own_name) == mine:
             return
 
         def change(current: Struct | None) -> Result:
-            if current == mine or mine.permit != ctx.permit:
+            if current == mine or mine.permit != ctx.lease_id:
                 raise NotApplicableError("known")
             return mine
 
-        key = records.version_key(ctx.me)
-        ctx.queue.propose(Edit(key, change, rank=FIRST, tag=f"version{ctx.permit}"))
+        key = records.version_key(ctx.own_name)
+        ctx.queue.propose(Edit(key, change, rank=FIRST, tag=f"version{ctx.lease_id}"))
 
     def speaks(self, member: str) -> bool:
         """Has the member's live process this version? Before the switch it need not."""
@@ -102,14 +102,14 @@
     def tick(self) -> None:
         """One round: announce our version, watch the others', and switch while we lead."""
         ctx = self.ctx
-        if not ctx.view.loaded or not ctx.permit or ctx.now >= ctx.lease_until:
+        if not ctx.view.loaded or not ctx.lease_id or ctx.now >= ctx.lease_until:
             return
         self.announce()
         if ctx.now - self.looked_at < LOOK_S:
             return
         self.looked_at = ctx.now
         self._watch()
-        if not ctx.leading():
+        if not ctx.is_leading():
             self.unmeasured = None
             return
         self._forget_stale()
@@ -122,7 +122,7 @@
         """Since when is a controller not there?"""
         ctx = self.ctx
         for name in self.names:
-            if name in ctx.view.members or ctx.now - ctx.follow_ok_at > 2.0:
+            if name in ctx.view.members or ctx.now - ctx.watch_ok_at > 2.0:
                 self.absent.pop(name, None)
             else:
                 self.absent.setdefault(name, ctx.now)
--- a/coursefold/coordination/urgency.py
+++ b/coursefold/coordination/urgency.py
@@ -51,7 +51,7 @@
     def _own(self, job: JobRecord) -> Urgent:
         due = job.spec.due
         rank = RANKS[job.spec.rank]
-        if job.guest is not None and self.ctx.wall - job.guest.at < GUEST_PATIENCE_S:
+        if job.guest is not None and self.ctx.wall_time - job.guest.at < GUEST_PATIENCE_S:
             # A cell's own work goes first, but guests do not starve behind it.
             rank = LEAST_URGENT
         return Urgent(rank, None if due is None else job.at + due)
--- a/coursefold/coordination/waiting.py
+++ b/coursefold/coordination/waiting.py
@@ -61,10 +61,10 @@
         found = []
         self.first = self._longest()
         for name, job in ctx.view.waiting.items():
-            if job.retry_at > ctx.wall:
+            if job.retry_at > ctx.wall_time:
                 reasons[name] = "its tasks failed; it is tried again later"
                 continue
-            if ctx.grants.is_over(job, ctx.now, ctx.wall):
+            if ctx.grants.has_job_grant_expired(job, ctx.now, ctx.wall_time):
                 reasons[name] = "its home cell's grant has ended"
                 continue
             tasks = job.spec.tasks if job.spec.shape != "array" else 1
@@ -75,7 +75,7 @@
             order = self.ordering.key(
                 job.spec,
                 name,
-                ctx.wall - since,
+                ctx.wall_time - since,
                 run,
                 within,
                 name == self.first,
@@ -83,7 +83,7 @@
                 rank,
                 None if due_at is None else due_at - since,
             )
-            found.append(Waiting(name, job, within, order, rank, ctx.wall - since))
+            found.append(Waiting(name, job, within, order, rank, ctx.wall_time - since))
         return merged(found)
 
     def _longest(self) -> JobId | None:
@@ -91,10 +91,10 @@
         waits = [
             (self.ctx.view.since(name, job), name)
             for name, job in self.ctx.view.waiting.items()
-            if job.spec.shape == "ensemble" and job.retry_at <= self.ctx.wall
+            if job.spec.shape == "ensemble" and job.retry_at <= self.ctx.wall_time
         ]
-        at, name = min(waits, default=(self.ctx.wall, None))
-        return name if self.ctx.wall - at > LONG_S else None
+        at, name = min(waits, default=(self.ctx.wall_time, None))
+        return name if self.ctx.wall_time - at > LONG_S else None
 
     def keeps_quota(self, wait: Waiting) -> bool:
         """Is the rest of its team's limit kept for this gang, which has waited longest?
--- a/coursefold/service.py
+++ b/coursefold/service.py
@@ -10,7 +10,14 @@
 import uvloop
 
 from coursefold.coordination.core import Core
-from coursefold.coordination.effects import Answer, CloudCall, Direct, Read, Tell, Vouch
+from coursefold.coordination.effects import (
+    CloudCall,
+    NotifyPeers,
+    ReadJobResult,
+    RefreshView,
+    Response,
+    SendCommands,
+)
 from coursefold.policy import Policy
 from coursefold.protocol.ids import JobId, Moment, WallTime
 from coursefold.protocol.wire import DirectOrders, KeyRow, News, encode
@@ -145,23 +152,23 @@
     # Core
 
     def _enter(self) -> Core:
-        self.core.at(now(), WallTime(time.time()))
+        self.core.set_time(now(), WallTime(time.time()))
         return self.core
 
     def _flush(self) -> None:
         """Carry out what the core asks for."""
-        for effect in self.core.drain():
-            if isinstance(effect, Answer):
+        for effect in self.core.take_effects():
+            if isinstance(effect, Response):
                 self.server.answer(effect.ticket, effect.status, effect.body, effect.retry_after)
-            elif isinstance(effect, Vouch):
+            elif isinstance(effect, RefreshView):
                 self.asked.set()
-            elif isinstance(effect, Read):
+            elif isinstance(effect, ReadJobResult):
                 self._spawn(self._read(effect.ticket, JobId(effect.job)))
             elif isinstance(effect, CloudCall):
                 self._spawn(self._cloud_call(effect))
-            elif isinstance(effect, Direct):
+            elif isinstance(effect, SendCommands):
                 self._spawn(self._direct(effect))
-            elif isinstance(effect, Tell):
+            elif isinstance(effect, NotifyPeers):
                 for member in effect.members:
                     self.links[member].wake.set()
         if self.core.queue.fresh:
@@ -206,14 +213,14 @@
 
     def _route(self, core: Core, ticket: int, method: str, path: str, body: bytes) -> None:
         if path == "/agent/beat" and method == "POST":
-            core.report(body, ticket)
+            core.handle_report(body, ticket)
         elif path == "/healthz" and method == "GET":
-            healthy = core.healthy()
-            self.server.answer(ticket, 200 if healthy else 503, core.condition())
+            healthy = core.is_healthy()
+            self.server.answer(ticket, 200 if healthy else 503, core.health_status())
         elif path == "/work" and method == "POST":
             core.submit(body, ticket)
         elif path.startswith("/shares/") and method == "POST":
-            core.operate(path, body, ticket)
+            core.handle_operator_command(path, body, ticket)
         elif path.startswith("/work/"):
             job, slash, verb = path.removeprefix("/work/").partition("/")
             if method == "GET" and not slash:
@@ -228,13 +235,13 @@
     # Peers
 
     def _linked(self, member: str) -> None:
-        self._enter().linked(member)
+        self._enter().peer_connected(member)
 
     def _frame(self, member: str) -> bytes:
-        return self._enter().frame(member)
+        return self._enter().next_frame(member)
 
     def _peer(self, frame: bytes, address: str) -> bool:
-        good = self._enter().peer(frame)
+        good = self._enter().receive_frame(frame)
         self._flush()
         self._changed()
         return good
@@ -259,25 +266,25 @@
         except NoAnswerError as wrong:
             log.debug("cloud: %s", wrong)
             status, answer = 0, b""
-        self._enter().cloud(call.call, status, answer)
+        self._enter().receive_cloud_response(call.call_id, status, answer)
         self._flush()
         self._changed()
 
-    async def _direct(self, direct: Direct) -> None:
+    async def _direct(self, direct: SendCommands) -> None:
         """Commands to a worker's address; its next report tells what came of them."""
         try:
-            client = HttpClient(direct.addr, 1)
+            client = HttpClient(direct.address, 1)
         except ValueError as wrong:
             log.error("worker address: %s", wrong)
             return
-        body = encode(DirectOrders(direct.token, direct.session, direct.orders))
+        body = encode(DirectOrders(direct.token, direct.session, direct.commands))
         try:
             # A zone's worth of machines that do not answer must not use up the sockets.
             async with asyncio.timeout(DIRECT_S), self.directs:
                 status, _ = await client.fetch("POST", "/orders", body, DIRECT_S)
-            log.debug("orders to %s: %d", direct.addr, status)
+            log.debug("orders to %s: %d", direct.address, status)
         except (NoAnswerError, TimeoutError) as wrong:
-            log.debug("orders to %s: %s", direct.addr, wrong)
+            log.debug("orders to %s: %s", direct.address, wrong)
         finally:
             client.close()
 
@@ -294,12 +301,12 @@
         while True:
             sent = now()
             try:
-                if not ctx.permit:
-                    ctx.permit = await self.state.grant(self.life_ms)
-                    log.info("lease %d for %d ms", ctx.permit, self.life_ms)
-                elif not await self.state.touch(ctx.permit):
-                    log.info("lease %d has ended", ctx.permit)
-                    ctx.permit = 0
+                if not ctx.lease_id:
+                    ctx.lease_id = await self.state.grant(self.life_ms)
+                    log.info("lease %d for %d ms", ctx.lease_id, self.life_ms)
+                elif not await self.state.touch(ctx.lease_id):
+                    log.info("lease %d has ended", ctx.lease_id)
+                    ctx.lease_id = 0
                     ctx.lease_until = Moment(0.0)
                     continue
                 ctx.lease_until = Moment(sent + self.life_ms / 1000.0 * 0.998)
@@ -321,7 +328,7 @@
                     rows, since = await self._load()
                     self._enter()
                     view.reload([(r.key, r.value, r.stamp) for r in rows], since)
-                    ctx.follow_ok_at = max(ctx.follow_ok_at, sent)
+                    ctx.watch_ok_at = max(ctx.watch_ok_at, sent)
                     log.info("%d records read at revision %d", len(rows), since)
                     self._changed()
                     continue
@@ -346,7 +353,7 @@
             elif item.remove is not None:
                 view.drop(item.remove, item.stamp)
         view.ledger = max(view.ledger, news.ledger)
-        ctx.follow_ok_at = max(ctx.follow_ok_at, sent)
+        ctx.watch_ok_at = max(ctx.watch_ok_at, sent)
         if news.news:
             self._changed()
         return news.ledger
@@ -358,7 +365,7 @@
             await self.asked.wait()
             await asyncio.sleep(self.vouch_pause)
             self.asked.clear()
-            tickets, core.questions = core.questions, []
+            tickets, core.requests_awaiting_refresh = core.requests_awaiting_refresh, []
             sent = now()
             try:
                 news = await self._up_to_now()
@@ -369,7 +376,7 @@
                     core.read_failed(ticket)
             else:
                 self._news(news, sent)
-                core.vouched(tickets)
+                core.view_refreshed(tickets)
             self._flush()
 
     async def _up_to_now(self) -> News:
@@ -425,7 +432,7 @@
                 queue.applied(batch, outcome.ledger)
             elif outcome.malformed:
                 if outcome.no_lease:
-                    self.core.ctx.permit = 0  # get a new one
+                    self.core.ctx.lease_id = 0  # get a new one
                     queue.lease_gone(batch)
                 else:
                     queue.invalid(batch)
@@ -495,7 +502,7 @@
             log.debug("read %s: %s", job, wrong)
             self._enter().read_failed(ticket)
         else:
-            self._enter().read(ticket, found)
+            self._enter().receive_job_result(ticket, found)
         self._flush()
 
 
--- a/coursefold/shares/commands.py
+++ b/coursefold/shares/commands.py
@@ -131,9 +131,9 @@
                 raise RefusedError(422, f"{field}: {name} is down")
         if command.source == command.target:
             raise RefusedError(422, "To: the same controller as From")
-        if not port.ctx.wall < command.until < port.ctx.wall + LONGEST_S:
+        if not port.ctx.wall_time < command.until < port.ctx.wall_time + LONGEST_S:
             raise RefusedError(422, "Until: has to be later than now, and within a year")
-        if port.ctx.kind(command.type) is None:
+        if port.ctx.machine_type(command.type) is None:
             raise RefusedError(422, f"Type: {command.type} is no machine type")
         if command.zone and command.zone not in port.ctx.settings.params.zones:
             raise RefusedError(422, f"Zone: {command.zone} is no zone")
@@ -153,7 +153,7 @@
             owned[command.source] - command.count,
             owned[command.target] + command.count,
             MODES[command.mode],
-            port.ctx.wall,
+            port.ctx.wall_time,
             command.until,
         )
 
@@ -228,6 +228,6 @@
         if not port.leads() or not port.is_idle():
             return
         for name, request in port.view.share_requests.items():
-            if port.ctx.wall > request.until + KEPT_S:
+            if port.ctx.wall_time > request.until + KEPT_S:
                 port.forget_request(name, forget(request))
                 return
--- a/coursefold/shares/durations.py
+++ b/coursefold/shares/durations.py
@@ -41,7 +41,7 @@
                 del self.handed_over_at[machine]
             elif port.is_shown(machine):
                 del self.handed_over_at[machine]
-                record_seconds(self.shown, max(0.0, port.ctx.wall - at))
+                record_seconds(self.shown, max(0.0, port.ctx.wall_time - at))
 
     def _note_handover(self, machine: str, known: UnderWay) -> None:
         record = self.port.view.ownership.get(machine)
--- a/coursefold/shares/handover.py
+++ b/coursefold/shares/handover.py
@@ -40,9 +40,9 @@
         """Were we, under this roster, told to hand the machine over, and is there still time?"""
         port = self.port
         return (
-            record.source == port.ctx.me
+            record.source == port.ctx.own_name
             and record.roster == port.view.token
-            and port.ctx.wall < record.until
+            and port.ctx.wall_time < record.until
         )
 
     def _why_not_yet(self, machine: str, record: MachineOwnership) -> str:
@@ -66,7 +66,7 @@
             log.info("move %d: hand %s over to %s", record.epoch, machine, record.target)
         stamp = port.view.stamp(ownership_key(machine))
         incarnation = port.incarnation(record.target)
-        change = hand_over(record, stamp, incarnation, port.ctx.wall)
+        change = hand_over(record, stamp, incarnation, port.ctx.wall_time)
         port.change_ownership(machine, change, f"hand over {stamp}")
 
     def _drain(self) -> None:
--- a/coursefold/shares/planner.py
+++ b/coursefold/shares/planner.py
@@ -110,7 +110,7 @@
         long; nobody is to wait for a minute and a half beside room that fits. But where jobs
         wait all the time, machines have to move as well: each may be held back for a while.
         """
-        wall = self.port.ctx.wall
+        wall = self.port.ctx.wall_time
         moving = {
             machine: record
             for machine, record in self.port.view.moves_under_way.items()
@@ -125,7 +125,7 @@
         port = self.port
         if record.target not in port.members() or port.owner_of(machine) != record.source:
             return "its controllers have changed"
-        if port.ctx.wall >= record.until:
+        if port.ctx.wall_time >= record.until:
             return "its time is over"
         if port.is_leaving(machine):
             return "the machine is being returned"
@@ -134,7 +134,7 @@
     def end(self, machine: str, record: MachineOwnership, why: str) -> None:
         """Withdraw a move; the machine stays with its owner, and is left alone for a while."""
         port = self.port
-        change = withdraw(record.epoch, port.ctx.wall, why)
+        change = withdraw(record.epoch, port.ctx.wall_time, why)
         if port.change_ownership(machine, change, f"withdraw {record.epoch}"):
             log.info("move %d of %s withdrawn: %s", record.epoch, machine, why)
             self.outcomes["withdrawn"] += 1
@@ -144,7 +144,7 @@
 
     def in_force(self) -> Plan:
         """The rules of the open window or the usual ones, and over them operators' requests."""
-        wall = self.port.ctx.wall
+        wall = self.port.ctx.wall_time
         window = self.schedule.window_at(wall)
         rules: dict[Scope, list[ShareRule]] = {}
         for rule in self.schedule.rules_at(wall):
@@ -263,7 +263,7 @@
         self, state: MachineState, transfer: Transfer, plan: Plan, scope: Scope, epoch: int
     ) -> None:
         port = self.port
-        wall = port.ctx.wall
+        wall = port.ctx.wall_time
         mode, why = self.config.mode, plan.why
         asked = plan.requests.get(scope)
         if asked is not None and asked.request.source == transfer.source:
@@ -290,7 +290,7 @@
         for machine, record in port.view.ownership.items():
             if record.stage != MoveStage.SETTLED:
                 continue
-            is_gone = port.is_gone(machine) and port.ctx.wall - record.at > GONE_FOR_S
+            is_gone = port.is_gone(machine) and port.ctx.wall_time - record.at > GONE_FOR_S
             # Its token must not fall: only a later roster's can stand for it.
             says_nothing = record.token < port.view.token and port.is_owned_by_hash(machine, record)
             if is_gone or says_nothing:
--- a/coursefold/shares/port.py
+++ b/coursefold/shares/port.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from coursefold.coordination.context import DRIFT, Machine, PeerMachine, PeerView
+from coursefold.coordination.context import LEASE_DRIFT_FACTOR, Machine, PeerMachine, PeerView
 from coursefold.coordination.core import Core
-from coursefold.coordination.effects import Answer
+from coursefold.coordination.effects import Response
 from coursefold.coordination.placement import Room, allowed
 from coursefold.protocol.ids import JobId
 from coursefold.protocol.wire import Job
@@ -54,11 +54,11 @@
 
     def is_active(self) -> bool:
         """May this controller decide for its machines, in the forms that shares need?"""
-        return self.ctx.active() and self.view.level >= records.WITH_SHARES
+        return self.ctx.is_active() and self.view.level >= records.WITH_SHARES
 
     def leads(self) -> bool:
         """May this controller decide for all of them?"""
-        return self.ctx.leading() and self.view.level >= records.WITH_SHARES
+        return self.ctx.is_leading() and self.view.level >= records.WITH_SHARES
 
     def leader(self) -> str:
         """The controller that leads, as far as is known."""
@@ -75,7 +75,7 @@
     def is_settled(self) -> bool:
         """Have we led for so long that all machines that are heard have been counted?"""
         inventory = self.core.fleet.inventory
-        return self.core.fleet.lists_read > 0 and inventory.led_for() > self.ctx.alive_within()
+        return self.core.fleet.lists_read > 0 and inventory.led_for() > self.ctx.max_report_age_s()
 
     def incarnation(self, member: str) -> int:
         """The lease of a member's process; 0 if it is not in the roster."""
@@ -91,9 +91,9 @@
         peer = self.ctx.peers.get(member)
         return (
             peer is not None
-            and self.ctx.now - peer.at <= HEARD_S
+            and self.ctx.now - peer.last_frame_at <= HEARD_S
             and peer.token == self.view.token
-            and peer.state_age <= STATE_HEARD_S
+            and peer.state_age_s <= STATE_HEARD_S
         )
 
     # The leader's view of the machines
@@ -106,7 +106,7 @@
         for name, rented in sorted(inventory.machines.items()):
             if not rented.up or rented.lost or name in inventory.returning:
                 continue
-            owner = ctx.owner(name, rented.zone) or ""
+            owner = ctx.owner_of(name, rented.zone) or ""
             row = self._row(name, owner)
             obstacle = self._obstacle(row) if row is not None else "its owner does not show it"
             if not obstacle and name in self.core.leader.wanted:
@@ -121,7 +121,7 @@
     def owner_of(self, machine: str) -> str:
         """The controller that owns a machine of the inventory; empty for any other."""
         rented = self.core.fleet.inventory.machines.get(machine)
-        return (self.ctx.owner(machine, rented.zone) or "") if rented else ""
+        return (self.ctx.owner_of(machine, rented.zone) or "") if rented else ""
 
     def is_shown(self, machine: str) -> bool:
         """Does the machine's owner tell us of it?"""
@@ -146,7 +146,7 @@
     def is_owned_by_hash(self, machine: str, record: MachineOwnership) -> bool:
         """Would the machine's owner be the same without its record?"""
         rented = self.core.fleet.inventory.machines.get(machine)
-        if self.ownership.assigned(machine) is None:
+        if self.ownership.assigned_owner(machine) is None:
             return True
         roster = self.ctx.roster
         if rented is None or roster is None:
@@ -155,36 +155,36 @@
 
     def _row(self, machine: str, owner: str) -> Machine | PeerMachine | None:
         """What the machine's owner tells of it, if it does and is up to date."""
-        if owner == self.ctx.me:
+        if owner == self.ctx.own_name:
             own = self.ctx.machines.get(machine)
-            return own if own is not None and own.proven else None
+            return own if own is not None and own.token_confirmed else None
         peer = self.ctx.peers.get(owner)
         if peer is None or not self._is_current(peer):
             return None
         return peer.machines.get(machine)
 
     def _is_current(self, peer: PeerView) -> bool:
-        return self.ctx.now - peer.at <= REPORTED_S and peer.token == self.view.token
+        return self.ctx.now - peer.last_frame_at <= REPORTED_S and peer.token == self.view.token
 
     def _obstacle(self, row: Machine | PeerMachine) -> str:
-        if row.sick:
+        if row.quarantined:
             return "it is faulty"
-        if row.lost or row.quiet or row.deaf:
+        if row.lease_expired or row.unresponsive or row.responses_lost:
             return "it is not heard"
         if isinstance(row, Machine):
             leaving, lent = (
-                row.recall_at is not None or not row.hears,
-                row.lent_until > self.ctx.now,
+                row.recall_at is not None or not row.receives_responses,
+                row.gang_reservation_until > self.ctx.now,
             )
         else:
-            leaving, lent = row.draining, row.lent
+            leaving, lent = row.draining, row.reserved_for_gang
         if leaving:
             return "the cloud takes it back, or it does not hear us"
         return "it is kept free for a gang or a return" if lent else ""
 
     def needed_by_waiting(self, machines: Iterable[str]) -> set[str]:
         """Of machines that are to move, those with room for a task that has waited for long."""
-        core, wall = self.core, self.ctx.wall
+        core, wall = self.core, self.ctx.wall_time
         waiting = [
             self.view.jobs[name].spec
             for name in core.leader.short
@@ -194,7 +194,7 @@
         if not waiting:
             return set()
         moving = set(machines)
-        rooms = [room for room in self.ctx.rooms() if room.id in moving]
+        rooms = [room for room in self.ctx.available_machines() if room.id in moving]
         return {r.id for r in rooms if any(allowed(spec, r) and r.holds(spec) for spec in waiting)}
 
     # One machine of ours
@@ -202,12 +202,12 @@
     def obstacle_to_handover(self, machine: str) -> str:
         """Why a machine of ours can not be handed over now, apart from tasks that have to end."""
         own = self.ctx.machines.get(machine)
-        if own is None or not own.proven:
+        if own is None or not own.token_confirmed:
             return "it has not shown our token"
-        lease = self.ctx.settings.params.workers.lease_s * DRIFT
-        if self.ctx.now - own.heard > min(self.ctx.alive_within(), lease):
+        lease = self.ctx.settings.params.workers.lease_s * LEASE_DRIFT_FACTOR
+        if self.ctx.now - own.last_report_at > min(self.ctx.max_report_age_s(), lease):
             return "it is not heard"
-        if any(place == machine for place, _ in self.ctx.pending.values()):
+        if any(place == machine for place, _ in self.ctx.placements_in_flight.values()):
             return "a task is about to be placed there"
         listed = {
             (JobId(job), number) for (job, number), item in own.tasks.items()
@@ -245,7 +245,7 @@
 
     def rooms(self) -> list[Room]:
         """Free room on all machines that take tasks."""
-        return [room for room in self.ctx.rooms() if not (room.draining or room.lent)]
+        return [room for room in self.ctx.available_machines() if not (room.draining or room.lent)]
 
     @staticmethod
     def take_room(spec: Job, rooms: Iterable[Room]) -> bool:
@@ -258,7 +258,7 @@
 
     def save_and_stop(self, job: JobId, entry: Entry) -> bool:
         """Have a task stopped with time to save its progress."""
-        steps = self.core.owner.commands.steps
+        steps = self.core.owner.command_planner.steps
         return steps.propose(job, "stop", entry, f"stop{entry.index}")
 
     # Writing
@@ -293,4 +293,4 @@
         self, ticket: int, status: int, body: dict[str, Any], retry_after: int | None = None
     ) -> None:
         """Answer an operator's command."""
-        self.ctx.out.append(Answer(ticket, status, body, retry_after))
+        self.ctx.effects.append(Response(ticket, status, body, retry_after))
--- a/coursefold/shares/shares.py
+++ b/coursefold/shares/shares.py
@@ -33,15 +33,15 @@
         self.planner.tick()
         self.commands.tidy()
 
-    def operate(self, path: str, body: bytes, ticket: int) -> bool:
+    def handle_operator_command(self, path: str, body: bytes, ticket: int) -> bool:
         """An operator's command."""
         return self.commands.take(path, body, ticket)
 
     # For operators
 
-    def condition(self) -> dict[str, Any]:
+    def health_status(self) -> dict[str, Any]:
         """What `coursefold shares` shows."""
-        wall = self.port.ctx.wall
+        wall = self.port.ctx.wall_time
         window = self.planner.schedule.window_at(wall)
         requests = sorted(self.port.view.share_requests.items())
         return {
@@ -89,7 +89,7 @@
                 "to": record.target,
                 "epoch": record.epoch,
                 "mode": record.mode.name.lower(),
-                "for_s": round(max(0.0, self.port.ctx.wall - record.at), 1),
+                "for_s": round(max(0.0, self.port.ctx.wall_time - record.at), 1),
                 "why": record.why,
                 "waits": self.handover.waiting.get(machine, ""),
             }
--- a/coursefold/storage/share_records.py
+++ b/coursefold/storage/share_records.py
@@ -1,6 +1,6 @@
 """Records of machines whose owner is set by a move, and of operators' requests to move some.
 
-A machine without a record is owned by hash (`coordination.parts`). The record of one that was
+A machine without a record is owned by hash (`coordination.rendezvous`). The record of one that was
 moved names its owner for as long as that owner's process is in the roster, and the fencing
 token which the handover raised for this machine alone.
 """
