--- a/coursefold/coordination/core.py
+++ b/coursefold/coordination/core.py
@@ -1,8 +1,8 @@
-"""The core of a controller: inputs in, effects out.
+"""The core of a controller: a state machine that turns inputs into effects.
 
-No I/O, no clock, no randomness: every input comes with the time, and what is to
-be sent, written or answered is left in the outbox. A recorded series of inputs
-therefore gives the same decisions again.
+The core does no I/O and reads neither clock nor random source. The caller sets the time before
+each input, carries out the effects that the core has left, and sends the edits in its commit
+queue. A recorded series of inputs therefore leads to the same decisions again.
 """
 
 import logging
@@ -35,11 +35,20 @@
 
 log = logging.getLogger(__name__)
 
-SWEEP = 8  # endings moved together
+MOVED_ENDINGS_BATCH = 8  # endings moved together
 
 
 class Core:
-    """One controller's state machine."""
+    """One controller's state machine.
+
+    Attributes:
+        view: The state service's records, kept up to date by the caller.
+        queue: Edits to be committed to the state service by the caller.
+        ctx: State shared by the parts of the core.
+        frame_builders: Builders of the frames to each sibling, by member name.
+        extensions: Optional subsystems that take part in each round.
+        was_leading: Whether this controller led at the end of the last round.
+    """
 
     def __init__(self, settings: Settings, policy: Policy | None = None) -> None:
         state = settings.params.state
@@ -69,12 +78,17 @@
         self.requests = RequestHandler(self.ctx, lambda: self.leader.waiting_reasons)
         self.was_leading = False
 
-    def set_time(self, now: Moment, wall: WallTime) -> None:
-        """Set the time of the inputs that follow."""
+    def set_time(self, now: Moment, wall_time: WallTime) -> None:
+        """Set the time of the inputs that follow.
+
+        Args:
+            now: The steady clock's time.
+            wall_time: The time of day in seconds since the epoch.
+        """
         ctx = self.ctx
-        ctx.now, ctx.wall_time = now, wall
+        ctx.now, ctx.wall_time = now, wall_time
         ctx.grants.observe(now)
-        self.queue.wall = wall
+        self.queue.wall = wall_time
         if ctx.started_at is None:
             ctx.started_at = now
         if ctx.seen_token != self.view.token:
@@ -82,19 +96,19 @@
         ctx.observe_handovers()
 
     def take_effects(self) -> list[Effect]:
-        """What the inputs so far ask for."""
-        out, self.ctx.effects = self.ctx.effects, []
+        """Return the effects of the inputs so far, and clear them."""
+        effects, self.ctx.effects = self.ctx.effects, []
         if self.ctx.notify_peers:
             self.ctx.notify_peers = False
-            for teller in self.frame_builders.values():
-                teller.summary_requested = True
-        waiting = [name for name, teller in self.frame_builders.items() if teller.has_pending()]
+            for builder in self.frame_builders.values():
+                builder.summary_requested = True
+        waiting = [name for name, builder in self.frame_builders.items() if builder.has_pending()]
         if waiting:
-            out.append(NotifyPeers(waiting))
-        return out
+            effects.append(NotifyPeers(waiting))
+        return effects
 
     def tick(self) -> None:
-        """Time has passed, or records have changed."""
+        """Run one round of decisions; called after changes and at regular intervals."""
         ctx = self.ctx
         roster = self.view.roster
         self.queue.share(ctx.is_leading(), len(roster.members) if roster else 1)
@@ -107,24 +121,30 @@
         self.fleet.tick()
         for extension in self.extensions:
             extension.tick()
-        self._sweep()
-        leading = ctx.is_leading()
-        if leading != self.was_leading:
-            self.was_leading = leading
-            log.info("%s, token %d", "leading" if leading else "no longer leading", self.view.token)
-
-    def _sweep(self) -> None:
-        """Move endings to where they stay, when nothing else is to be written."""
+        self._move_endings()
+        is_leading = ctx.is_leading()
+        if is_leading != self.was_leading:
+            self.was_leading = is_leading
+            log.info(
+                "%s, token %d", "leading" if is_leading else "no longer leading", self.view.token
+            )
+
+    def _move_endings(self) -> None:
+        """Move endings to their permanent keys when nothing else is to be written."""
         ctx = self.ctx
-        unswept = self.view.unswept
-        if len(unswept) < SWEEP or not ctx.is_leading() or not self.queue.idle(ctx.now):
+        endings = self.view.unswept
+        if (
+            len(endings) < MOVED_ENDINGS_BATCH
+            or not ctx.is_leading()
+            or not self.queue.idle(ctx.now)
+        ):
             return
-        # An ending that a live job names stays where starting nodes read it.
-        named = self.view.needs.named
-        for name in list(islice((n for n in unswept if not named(n)), SWEEP)):
+        # An ending that a live job names stays where controllers read it when they start.
+        is_named = self.view.needs.named
+        for job_id in list(islice((e for e in endings if not is_named(e)), MOVED_ENDINGS_BATCH)):
             self.queue.propose(
                 Edit(
-                    job_key(name),
+                    job_key(job_id),
                     jobs.move_ending(),
                     rank=LATER,
                     fence=self.view.token,
@@ -132,18 +152,18 @@
                 )
             )
 
-    def stop_cancelled_tasks(self, names: Iterable[JobId]) -> None:
-        """Have our workers stop these jobs' tasks now, also while we may decide nothing else."""
-        self.ctx.new_peer_cancellations.extend(names)
+    def stop_cancelled_tasks(self, job_ids: Iterable[JobId]) -> None:
+        """Stop these jobs' tasks on own workers, even while no other decisions are allowed."""
+        self.ctx.new_peer_cancellations.extend(job_ids)
         self.owner.stop_peer_cancelled_tasks()
 
     def peer_connected(self, member: str) -> None:
-        """A new connection to a sibling."""
+        """Handle a new connection to a sibling: everything is sent again."""
         self.frame_builders[member].start_connection()
         self.forwarding.resend_proposals(member)
 
     def next_frame(self, member: str) -> bytes:
-        """The next frame for a sibling; empty if there is nothing to say."""
+        """Return the next frame for a sibling; empty if there is nothing to send."""
         return self.frame_builders[member].build_frame(
             set(self.leader.requested_machines),
             self.election.unreachable_for_workers(),
@@ -151,7 +171,7 @@
         )
 
     def receive_frame(self, frame: bytes) -> bool:
-        """A sibling's frame; False if its connection should end."""
+        """Handle a sibling's frame; return False if its connection should be closed."""
         envelope = summary.decode_frame(self.ctx, frame)
         if envelope is None:
             return False
@@ -161,26 +181,32 @@
         self.forwarding.receive_proposals(envelope.sender, list(envelope.proposals))
         return True
 
-    def receive_cloud_response(self, call: int, status: int, body: bytes) -> None:
-        """What the cloud answered to a request; status 0 is no answer."""
-        self.fleet.handle_response(call, status, body)
+    def receive_cloud_response(self, call_id: int, status: int, body: bytes) -> None:
+        """Handle the cloud's response to a `CloudCall`.
+
+        Args:
+            call_id: The number of the call.
+            status: The HTTP status code; 0 if there was no response.
+            body: The response body.
+        """
+        self.fleet.handle_response(call_id, status, body)
 
     # Workers
 
     def handle_report(self, body: bytes, ticket: int) -> None:
-        """POST /agent/beat."""
+        """Handle POST /agent/beat, a worker's report."""
         try:
             report = decode_report(body)
-        except MalformedError as wrong:
-            log.info("report refused: %s", wrong)
-            self.ctx.effects.append(Response(ticket, 400, {"error": str(wrong)}))
+        except MalformedError as error:
+            log.info("report refused: %s", error)
+            self.ctx.effects.append(Response(ticket, 400, {"error": str(error)}))
             return
         self.owner.handle_report(report, ticket)
 
     # Users
 
     def is_healthy(self) -> bool:
-        """Can this node take requests?"""
+        """Return whether this controller can take requests."""
         return (
             self.view.loaded
             and not self.requests.is_state_service_silent()
@@ -188,9 +214,9 @@
         )
 
     def health_status(self) -> dict[str, Any]:
-        """What an operator asks of one node: is it well, and who has which version?"""
+        """Return the `/healthz` response: health, leader, members, versions and extensions."""
         roster = self.view.roster
-        condition: dict[str, Any] = {
+        health: dict[str, Any] = {
             "ok": self.is_healthy(),
             "version": __version__,
             "leader": roster.leader if roster else None,
@@ -199,12 +225,12 @@
             "older": self.upgrade.controllers_without_version() if self.view.loaded else None,
         }
         for extension in self.extensions:
-            condition |= extension.health_status()
-        return condition
+            health |= extension.health_status()
+        return health
 
     @property
     def requests_awaiting_refresh(self) -> list[int]:
-        """Tickets of questions that wait for a view as new as they are."""
+        """Tickets of requests that wait for a view that is as recent as they are."""
         return self.requests.refresh_tickets
 
     @requests_awaiting_refresh.setter
@@ -212,36 +238,36 @@
         self.requests.refresh_tickets = tickets
 
     def handle_operator_command(self, path: str, body: bytes, ticket: int) -> None:
-        """POST of an operator's command."""
+        """Handle POST of an operator's command."""
         if not any(
             extension.handle_operator_command(path, body, ticket) for extension in self.extensions
         ):
             self.ctx.effects.append(Response(ticket, 404, {"error": "no such path"}))
 
     def submit(self, body: bytes, ticket: int) -> None:
-        """POST /work."""
+        """Handle POST /work, which submits a job."""
         self.requests.submit(body, ticket)
 
     def poll(self, job: str, ticket: int) -> None:
-        """GET /work/{id}."""
+        """Handle GET /work/{id}, a poll of a job's status."""
         self.requests.poll(job, ticket)
 
     def cancel(self, job: str, ticket: int) -> None:
-        """POST /work/{id}/cancel."""
+        """Handle POST /work/{id}/cancel."""
         self.requests.cancel(job, ticket)
 
     def view_refreshed(self, tickets: list[int]) -> None:
-        """The view is now as new as these questions."""
+        """Respond to requests that waited: the view is now as recent as they are."""
         self.requests.view_refreshed(tickets)
 
-    def receive_job_result(self, ticket: int, found: JobRecord | Ending | None) -> None:
-        """What the state service knows of the job asked for."""
-        self.requests.record_read(ticket, found)
+    def receive_job_result(self, ticket: int, record: JobRecord | Ending | None) -> None:
+        """Handle the outcome of a `ReadJobResult`; `record` is None if there is no such job."""
+        self.requests.record_read(ticket, record)
 
     def read_failed(self, ticket: int) -> None:
-        """The state service could not be asked."""
+        """Handle a read or a view refresh that failed."""
         self.requests.read_failed(ticket)
 
     def forget_ticket(self, ticket: int) -> None:
-        """The asker has gone or was told to come back."""
+        """Drop a request whose client has gone or was told to retry."""
         self.requests.forget_ticket(ticket)
