--- a/coursefold/coordination/cancellations.py
+++ b/coursefold/coordination/cancellations.py
@@ -47,7 +47,7 @@
     view = ctx.view
     peer = ctx.peers.get(member)
     body.ledger, body.roster = view.ledger, view.token
-    body.since = peer.ledger if peer else 0
+    body.since = peer.revision if peer else 0
     versions = [(view.stamp(job_key(name)), name) for name in view.cancelled]
     unknown = sorted(((v, n) for v, n in versions if v > body.since), reverse=True)
     limit = max_cancellations_per_frame(ctx)
@@ -65,7 +65,7 @@
     those were updated.
     """
     state = ctx.settings.params.state
-    silence = max(0.0, ctx.now - ctx.follow_ok_at)
+    silence = max(0.0, ctx.now - ctx.watch_ok_at)
     latest = ctx.view.ledger + MAX_REVISIONS_AHEAD + int(4 * state.write_rps * (silence + 10.0))
     return (
         len(message.jobs) <= max_cancellations_per_frame(ctx)
@@ -91,20 +91,20 @@
     if not _is_plausible(ctx, message):
         log.error("dropping implausible cancellations from member %s", peer.member)
         return
-    peer.ledger, peer.roster = message.ledger, message.roster
+    peer.revision, peer.roster_token = message.ledger, message.roster
     for item in message.jobs:
         name = JobId(item.job)
-        if item.stamp > max(ctx.view.ledger, ctx.handed.get(name, 0)):
-            if name not in ctx.handed:
-                ctx.handed_now.append(name)
+        if item.stamp > max(ctx.view.ledger, ctx.peer_cancellations.get(name, 0)):
+            if name not in ctx.peer_cancellations:
+                ctx.new_peer_cancellations.append(name)
                 log.info("cancel %s: reported by %s, not in the own records yet", name, peer.member)
-            ctx.handed[name] = item.stamp
+            ctx.peer_cancellations[name] = item.stamp
     if (
         message.since <= ctx.view.ledger  # the own records have all that the message leaves out
         and message.roster <= ctx.view.token  # else the machines may have another owner by now
         and _is_known_process(ctx, peer)
     ):
-        peer.known_until = max(peer.known_until, sent_at)
+        peer.cancellations_known_until = max(peer.cancellations_known_until, sent_at)
 
 
 def _is_known_process(ctx: Context, peer: PeerView) -> bool:
@@ -116,10 +116,10 @@
     """
     roster = ctx.view.roster
     member = roster.member(peer.member) if roster else None
-    if not peer.permit:
+    if not peer.lease_id:
         return False
-    return (member is not None and member.permit == peer.permit) or (
-        peer.permit_at <= ctx.follow_ok_at
+    return (member is not None and member.permit == peer.lease_id) or (
+        peer.lease_id_seen_at <= ctx.watch_ok_at
     )
 
 
@@ -128,14 +128,16 @@
     siblings = ctx.settings.siblings
     if not siblings:
         return ctx.now
-    moments = [p.known_until if (p := ctx.peers.get(s.member)) else -1e9 for s in siblings]
-    return max(ctx.follow_ok_at, min(moments))
+    moments = [
+        p.cancellations_known_until if (p := ctx.peers.get(s.member)) else -1e9 for s in siblings
+    ]
+    return max(ctx.watch_ok_at, min(moments))
 
 
 def prune(ctx: Context) -> None:
     """Drop siblings' cancellations that the own records contain by now."""
-    for name in [n for n, version in ctx.handed.items() if version <= ctx.view.ledger]:
-        del ctx.handed[name]
+    for name in [n for n, version in ctx.peer_cancellations.items() if version <= ctx.view.ledger]:
+        del ctx.peer_cancellations[name]
 
 
 def is_cancelled_or_expired(ctx: Context, name: JobId) -> bool:
@@ -147,6 +149,6 @@
     job = ctx.view.jobs.get(name)
     if job is not None and job.status == records.CANCELLED:
         return True
-    if ctx.grants.is_over(job, ctx.now, ctx.wall):
+    if ctx.grants.has_job_grant_expired(job, ctx.now, ctx.wall_time):
         return True
-    return ctx.handed.get(name, 0) > ctx.view.ledger
+    return ctx.peer_cancellations.get(name, 0) > ctx.view.ledger
--- a/coursefold/coordination/election.py
+++ b/coursefold/coordination/election.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from coursefold.coordination.context import Context
-from coursefold.coordination.parts import weight
+from coursefold.coordination.rendezvous import rendezvous_weight
 from coursefold.coordination.upgrade import Upgrade
 from coursefold.storage import records
 from coursefold.storage.edits import FIRST, Change, Edit, NotApplicableError, Result
@@ -68,7 +68,7 @@
 
     def _is_connected(self, member: str) -> bool:
         peer = self.ctx.peers.get(member)
-        return peer is not None and self.ctx.now - peer.at <= MAX_SIBLING_SILENCE_S
+        return peer is not None and self.ctx.now - peer.last_frame_at <= MAX_SIBLING_SILENCE_S
 
     def _unreachable_members(self) -> set[str]:
         """Return the members that neither their workers nor this controller can reach.
@@ -79,32 +79,32 @@
         hands four times a second.
         """
         ctx = self.ctx
-        others = [name for name in ctx.view.members if name != ctx.me]
+        others = [name for name in ctx.view.members if name != ctx.own_name]
         if len(others) > 1 and not any(self._is_connected(name) for name in others):
             return set()
         reported = self.unreachable_for_workers()
         for peer in ctx.peers.values():
-            if ctx.now - peer.at < MAX_SIBLING_SILENCE_S:
+            if ctx.now - peer.last_frame_at < MAX_SIBLING_SILENCE_S:
                 reported |= peer.unreachable_for_workers
-        if ctx.started is None or ctx.now - ctx.started < MAX_SIBLING_SILENCE_S + 1.0:
+        if ctx.started_at is None or ctx.now - ctx.started_at < MAX_SIBLING_SILENCE_S + 1.0:
             return set()
-        return {name for name in reported if name != ctx.me and not self._is_connected(name)}
+        return {name for name in reported if name != ctx.own_name and not self._is_connected(name)}
 
     def tick(self) -> None:
         """Join, update the roster while leading, or take over if there is no leader."""
         ctx = self.ctx
-        if not ctx.view.loaded or not ctx.permit or ctx.now >= ctx.lease_until:
+        if not ctx.view.loaded or not ctx.lease_id or ctx.now >= ctx.lease_until:
             return
-        own_record = ctx.view.members.get(ctx.me)
-        if own_record is None or own_record.permit != ctx.permit:
+        own_record = ctx.view.members.get(ctx.own_name)
+        if own_record is None or own_record.permit != ctx.lease_id:
             self._join()
             return
-        if not self.upgrade.has_current_version(ctx.me):
+        if not self.upgrade.has_current_version(ctx.own_name):
             return  # the own version record is written but not in the view yet
         self._update_evicted()
         roster = ctx.view.roster
         members = self._eligible_members()
-        if roster is not None and roster.leader == ctx.me and ctx.my_record() is not None:
+        if roster is not None and roster.leader == ctx.own_name and ctx.own_record() is not None:
             self.leaderless_since = None
             self._update_roster(roster, members)
         elif roster is not None and self._leader_is_live(roster):
@@ -121,7 +121,7 @@
             self.evicted_at[name] = ctx.now
         for name in list(self.evicted_at):
             peer = ctx.peers.get(name)
-            is_reachable = peer is not None and ctx.now - peer.at < READMISSION_SILENCE_S
+            is_reachable = peer is not None and ctx.now - peer.last_frame_at < READMISSION_SILENCE_S
             if is_reachable and ctx.now - self.evicted_at[name] > MIN_EVICTION_S:
                 del self.evicted_at[name]
 
@@ -131,7 +131,7 @@
         return [
             live[name]
             for name in sorted(live)
-            if name == self.ctx.me
+            if name == self.ctx.own_name
             or (name not in self.evicted_at and self.upgrade.has_current_version(name))
         ]
 
@@ -145,7 +145,7 @@
             members != roster.members and self._may_commit_members(members, roster)
         ):
             why = "closed to older versions" if closes_to_older_versions else "membership changed"
-            self._commit_roster(Roster(self.ctx.me, members, view.level), why)
+            self._commit_roster(Roster(self.ctx.own_name, members, view.level), why)
 
     def _leader_is_live(self, roster: Roster) -> bool:
         """Return whether the leader is reachable and still the same incarnation with its lease."""
@@ -164,7 +164,9 @@
         if now - self.leaderless_since >= CANDIDATE_INTERVAL_S * self._candidate_rank(
             members, roster
         ):
-            self._commit_roster(Roster(self.ctx.me, members, self.ctx.view.level), "no leader")
+            self._commit_roster(
+                Roster(self.ctx.own_name, members, self.ctx.view.level), "no leader"
+            )
 
     def _may_commit_members(self, members: list[MemberRecord], roster: Roster) -> bool:
         """Return whether to write a roster with these members now.
@@ -194,10 +196,12 @@
 
         def key(member: MemberRecord) -> tuple[bool, bytes]:
             is_known = roster is not None and roster.member(member.name) == member
-            return (not is_known, weight(member.name, str(self.ctx.view.token)))
+            return (not is_known, rendezvous_weight(member.name, str(self.ctx.view.token)))
 
         candidates = sorted(members, key=key)
-        return next((i for i, m in enumerate(candidates) if m.name == self.ctx.me), len(candidates))
+        return next(
+            (i for i, m in enumerate(candidates) if m.name == self.ctx.own_name), len(candidates)
+        )
 
     def _join(self) -> None:
         """Write the own member key, and replace that of this member's previous process at once.
@@ -206,19 +210,19 @@
         """
         ctx = self.ctx
         self.upgrade.announce_version()
-        record = MemberRecord(ctx.me, ctx.permit, ctx.settings.zone)
+        record = MemberRecord(ctx.own_name, ctx.lease_id, ctx.settings.zone)
 
         def change(current: Struct | None) -> Result:
             if current == record:
                 raise NotApplicableError("member already")
-            if record.permit != ctx.permit:
+            if record.permit != ctx.lease_id:
                 raise NotApplicableError("lease replaced")
             return record
 
-        key = records.member_key(ctx.me)
-        edit = Edit(key, change, rank=FIRST, permit=ctx.permit, tag=f"join{ctx.permit}")
+        key = records.member_key(ctx.own_name)
+        edit = Edit(key, change, rank=FIRST, permit=ctx.lease_id, tag=f"join{ctx.lease_id}")
         if ctx.queue.propose(edit):
-            log.info("joining as member %s with lease %d", ctx.me, ctx.permit)
+            log.info("joining as member %s with lease %d", ctx.own_name, ctx.lease_id)
 
     def _commit_roster(self, roster: Roster, why: str) -> None:
         ctx = self.ctx
--- a/coursefold/coordination/forward.py
+++ b/coursefold/coordination/forward.py
@@ -48,10 +48,18 @@
         """Return the leader if it is another controller and connected, else None."""
         ctx = self.ctx
         roster = ctx.view.roster
-        if roster is None or roster.leader == ctx.me or roster.leader not in self.frame_builders:
+        if (
+            roster is None
+            or roster.leader == ctx.own_name
+            or roster.leader not in self.frame_builders
+        ):
             return None
         peer = ctx.peers.get(roster.leader)
-        if peer is None or ctx.now - peer.at > MAX_LEADER_SILENCE_S or peer.token != ctx.view.token:
+        if (
+            peer is None
+            or ctx.now - peer.last_frame_at > MAX_LEADER_SILENCE_S
+            or peer.token != ctx.view.token
+        ):
             return None
         return roster.leader
 
@@ -67,7 +75,7 @@
             return ctx.queue.propose(edit)
         if not ctx.queue.claim(edit):
             return False
-        self.last_proposal_id = max(self.last_proposal_id + 1, int(ctx.wall * 1000))
+        self.last_proposal_id = max(self.last_proposal_id + 1, int(ctx.wall_time * 1000))
         proposal = peer_pb2.Proposal(
             id=self.last_proposal_id,
             token=ctx.view.token,
@@ -140,7 +148,7 @@
                 sender,
                 item.at,
             )
-            if not ctx.leading() or item.token != ctx.view.token:
+            if not ctx.is_leading() or item.token != ctx.view.token:
                 self._add_outcome(sender, item.id, False, "not leading", 0)
                 continue
             if not is_job_id(item.job) or not transition.is_valid():
--- a/coursefold/coordination/leader.py
+++ b/coursefold/coordination/leader.py
@@ -100,7 +100,7 @@
     def tick(self) -> None:
         """One round of dealing, while this node leads."""
         ctx = self.ctx
-        if not ctx.leading():
+        if not ctx.is_leading():
             self.requested_machines.clear()
             return
         self._undeal_lost()
@@ -112,11 +112,11 @@
         self.gangs_refused = {}
         self.preemption.begin()
         quota = QuotaTracker(ctx.settings.params.teams, ctx.view.usage)
-        for (name, index), (_, spec) in ctx.pending.items():
+        for (name, index), (_, spec) in ctx.placements_in_flight.items():
             if ctx.view.entry(JobId(name), index) is None and JobId(name) in ctx.view.jobs:
                 quota.add_usage(spec, 1)
         self.in_flight = {}
-        for key, index in ctx.pending:
+        for key, index in ctx.placements_in_flight:
             self.in_flight.setdefault(JobId(key), set()).add(index)
         queue = self.list_queued_jobs(quota)
         if queue:
@@ -129,7 +129,7 @@
         self._tell_reasons()
 
     def _deal_all(self, queue: list[QueuedJob], quota: QuotaTracker) -> None:
-        rooms = self.ctx.rooms()
+        rooms = self.ctx.available_machines()
         self.available_types = {r.type_info.name for r in rooms if not r.spot}
         # Ordinary machines first to those that may use no others: a task that may run
         # on spot machines would sit where a gang or replica could be, and be stopped.
@@ -142,7 +142,7 @@
                 short |= not self._serve(wait, rooms, floor, quota)
         most = rooms
         if short:
-            needed = self.ctx.market().needed_ordinary_types
+            needed = self.ctx.price_index().needed_ordinary_types
             rooms = [r for r in rooms if r.spot or r.type_info.name not in needed]
             floor = self._floor(rooms)
         for wait in large:
@@ -226,7 +226,7 @@
             job = ctx.view.jobs.get(name)
             if (
                 job
-                and ctx.wall - ctx.view.since(name, job) > 5.0
+                and ctx.wall_time - ctx.view.since(name, job) > 5.0
                 and self.logged_reasons.get(name) != why
             ):
                 log.info("%s waits: %s", name, why)
@@ -316,7 +316,7 @@
                 break
             if picker is None and not refused:
                 zones = self._zones(job)
-                market = self.ctx.market()
+                market = self.ctx.price_index()
                 picker = PlacementSearch(
                     spec, rooms, zones, avoid=job.failed_on, price_index=market
                 )
@@ -364,12 +364,12 @@
         places: list[jobs.TaskRef] = []
         deals: list[jobs.Assignment] = []
         for number, room in choices:
-            if room.owner == self.ctx.me:
+            if room.owner == self.ctx.own_name:
                 places.append(jobs.TaskRef(number, 0, room.zone, room.id, room.session))
             else:
                 deals.append(jobs.Assignment(number, room.owner, room.zone, room.id))
         if places:
-            self.owner.placing.propose_placement(name, job, places)
+            self.owner.owner_placement.propose_placement(name, job, places)
         if deals:
             self._deal(name, job, deals)
 
@@ -383,7 +383,9 @@
         It stays for long where it starts. Seen: large machines boot first, and at the
         start all replicas took them, for the whole day, from tasks that fit no others.
         """
-        best = self.ctx.market().find_preferred_type(spec) if spec.shape == "standing" else None
+        best = (
+            self.ctx.price_index().find_preferred_type(spec) if spec.shape == "standing" else None
+        )
         if best is None or best in self.available_types:
             return False
         return any(build == best and not spot for build, _, spot in self.booting_offerings)
@@ -391,11 +393,11 @@
     def _deal(self, name: JobId, job: JobRecord, deals: list[jobs.Assignment]) -> None:
         ctx = self.ctx
         for task in deals:
-            ctx.pending[(name, task.number)] = (task.machine, job.spec)
+            ctx.placements_in_flight[(name, task.number)] = (task.machine, job.spec)
 
         def settled(ok: bool, why: str) -> None:
             for task in deals:
-                ctx.pending.pop((name, task.number), None)
+                ctx.placements_in_flight.pop((name, task.number), None)
             log.debug(
                 "deal %s: %s: %s", name, ",".join(f"{t.number}:{t.owner}" for t in deals),
                 why or "done",
@@ -427,7 +429,7 @@
             room.reserve(job.spec)
             room.is_unschedulable = True
         quota.add_usage(job.spec, job.spec.tasks)
-        missing = [r for r in plan if r.owner != self.ctx.me and not r.reserved_for_gang]
+        missing = [r for r in plan if r.owner != self.ctx.own_name and not r.reserved_for_gang]
         if missing:
             self.waiting_reasons[name] = "waiting for machines to be lent"
             for room in missing:
@@ -446,7 +448,7 @@
         plan = None
         if spec.tasks < least_refused:
             rooms = floor.find_fitting(spec)
-            plan = gangs.find_gang_placement(spec, rooms, self.ctx.market(), self._slack(wait))
+            plan = gangs.find_gang_placement(spec, rooms, self.ctx.price_index(), self._slack(wait))
         if plan is None:
             self.gangs_refused[key] = min(least_refused, spec.tasks)
         return plan
@@ -476,12 +478,12 @@
 
         def settled(ok: bool, why: str) -> None:
             for number in range(job.spec.tasks):
-                ctx.pending.pop((name, number), None)
+                ctx.placements_in_flight.pop((name, number), None)
             log.info("gang %s on %s: %s", name, ",".join(r.id for r in plan), why or "placed")
 
         self._release(name, job)
         for number, room in enumerate(plan):
-            ctx.pending[(name, number)] = (room.id, job.spec)
+            ctx.placements_in_flight[(name, number)] = (room.id, job.spec)
         edit = Edit(
             job_key(name),
             jobs.place_gang(places),
@@ -504,7 +506,7 @@
 
     def _pauses(self) -> bool:
         """The moments in which old reservations hold nobody back."""
-        return self.ctx.wall % (KEEP_S + PAUSE_S) >= KEEP_S
+        return self.ctx.wall_time % (KEEP_S + PAUSE_S) >= KEEP_S
 
     def _may_grow(self, spec: Job) -> bool:
         """Are there machines that the job may use still to come?"""
@@ -525,7 +527,7 @@
         for room in floor.find_to_earmark(spec) if spec.gpus else ():
             # In this round only: keeps lesser work off.
             room.is_unschedulable = room.earmarked_for_gang = True
-            if room.owner != self.ctx.me and room.task_count == 0:
+            if room.owner != self.ctx.own_name and room.task_count == 0:
                 self._want(room)
 
     def _end_attempt(self, name: JobId, job: JobRecord) -> None:
@@ -543,5 +545,5 @@
 
     def _want(self, room: MachineCapacity) -> None:
         if room.id not in self.requested_machines:
-            self.ctx.tell = True
+            self.ctx.notify_peers = True
         self.requested_machines[room.id] = self.ctx.now + 2.0
--- a/coursefold/coordination/requests.py
+++ b/coursefold/coordination/requests.py
@@ -15,10 +15,10 @@
 
 from coursefold.coordination import jobs
 from coursefold.coordination.context import Context
-from coursefold.coordination.effects import Answer, Read, Vouch
+from coursefold.coordination.effects import ReadJobResult, RefreshView, Response
 from coursefold.coordination.placement import fits_machine_type
 from coursefold.coordination.quota import fits_team_limit
-from coursefold.coordination.whereabouts import away_reason
+from coursefold.coordination.remote_placement import describe_remote_placement
 from coursefold.protocol.ids import JobId, is_job_id
 from coursefold.protocol.wire import Job, MalformedError, decode_job
 from coursefold.storage import records
@@ -78,7 +78,7 @@
         return self.ctx.now - self.ctx.state_ok_at > MAX_STATE_SILENCE_S
 
     def _answer_unavailable(self, ticket: int, reason: str, seconds: int = 1) -> None:
-        self.ctx.out.append(Answer(ticket, 503, {"error": reason}, retry_after=seconds))
+        self.ctx.effects.append(Response(ticket, 503, {"error": reason}, retry_after=seconds))
 
     def resolve_prerequisites(self) -> None:
         """Read the endings of prerequisites that are not in the view.
@@ -94,7 +94,7 @@
             self.pending[self.last_internal_ticket] = PendingRequest(
                 Purpose.RESOLVE, prerequisite, None
             )
-            self.ctx.out.append(Read(self.last_internal_ticket, prerequisite))
+            self.ctx.effects.append(ReadJobResult(self.last_internal_ticket, prerequisite))
 
     def submit(self, body: bytes, ticket: int) -> None:
         """Handle POST /work: accept or reject a job, or return the state of a known one."""
@@ -102,7 +102,7 @@
             spec = decode_job(body)
         except MalformedError as error:
             log.info("submission refused: %s", error)
-            self.ctx.out.append(Answer(ticket, 400, {"error": str(error)}))
+            self.ctx.effects.append(Response(ticket, 400, {"error": str(error)}))
             return
         if not self.view.loaded or self.is_state_service_silent():
             self._answer_unavailable(ticket, "no state service", 2)
@@ -148,13 +148,13 @@
                 self._answer_unavailable(ticket, f"the record of {prerequisite} can not be read")
             else:
                 self.pending[ticket] = PendingRequest(Purpose.NEED, prerequisite, spec)
-                self.ctx.out.append(Read(ticket, prerequisite))
+                self.ctx.effects.append(ReadJobResult(ticket, prerequisite))
             return
         self._accept(spec, ticket)
 
     def _answer_rejected(self, ticket: int, spec: Job, reason: str) -> None:
         log.info("refuse %s: %s", spec.name, reason)
-        self.ctx.out.append(Answer(ticket, 422, {"error": reason}))
+        self.ctx.effects.append(Response(ticket, 422, {"error": reason}))
 
     def _has_unreadable_record(self, job: JobId) -> bool:
         """Return whether the job has a record that cannot be read, or is read only in part."""
@@ -168,7 +168,9 @@
                     "accept %s: %d tasks of %s for %s (%g cpus, %g accelerators, %g GB each)",
                     spec.name, spec.tasks, spec.lane, spec.team, spec.cpus, spec.gpus, spec.memory,
                 )  # fmt: skip
-                self.ctx.out.append(Answer(ticket, 201, {"NameId": spec.name, "Status": "pending"}))
+                self.ctx.effects.append(
+                    Response(ticket, 201, {"NameId": spec.name, "Status": "pending"})
+                )
             elif reason == "too large" and self.queue.later and not self.view.level:
                 self._answer_unavailable(
                     ticket, "no room for so long a description before the upgrade", 5
@@ -178,7 +180,7 @@
             elif reason == "refused":
                 self._answer_unavailable(ticket, "the state service does not take it", 5)
             elif reason == "too large":
-                self.ctx.out.append(Answer(ticket, 400, {"error": "description too large"}))
+                self.ctx.effects.append(Response(ticket, 400, {"error": "description too large"}))
             else:
                 self._request_fresh_state(ticket, Purpose.SUBMIT, spec.name, None)
 
@@ -194,7 +196,7 @@
         fates = {name: self.view.fate(JobId(name)) for name in spec.prereqs or ()}
         job_change = jobs.accept(
             spec,
-            self.ctx.wall,
+            self.ctx.wall_time,
             [name for name, fate in fates.items() if fate != records.DONE],
             records.CANCELLED in fates.values(),
         )
@@ -230,7 +232,7 @@
             self.record_read(ticket, ending)
             return
         self.refresh_tickets.append(ticket)
-        self.ctx.out.append(Vouch())
+        self.ctx.effects.append(RefreshView())
 
     def view_refreshed(self, tickets: list[int]) -> None:
         """Answer these requests; the view has become as new as they are.
@@ -252,12 +254,12 @@
                 self.pending.pop(ticket, None)
                 self._answer_unavailable(ticket, "the job's record can not be read")
             else:
-                self.ctx.out.append(Read(ticket, job))  # ended long ago, or unknown
+                self.ctx.effects.append(ReadJobResult(ticket, job))  # ended long ago, or unknown
 
     def poll(self, job: str, ticket: int) -> None:
         """Handle GET /work/{id}, from a refreshed view."""
         if not is_job_id(job):
-            self.ctx.out.append(Answer(ticket, 404, {"error": "no such job"}))
+            self.ctx.effects.append(Response(ticket, 404, {"error": "no such job"}))
             return
         if self.is_state_service_silent():
             self._answer_unavailable(ticket, "no state service", 2)
@@ -270,7 +272,7 @@
     def cancel(self, job: str, ticket: int) -> None:
         """Handle POST /work/{id}/cancel."""
         if not is_job_id(job):
-            self.ctx.out.append(Answer(ticket, 404, {"error": "no such job"}))
+            self.ctx.effects.append(Response(ticket, 404, {"error": "no such job"}))
             return
         if not self.view.loaded or self.is_state_service_silent():
             self._answer_unavailable(ticket, "no state service", 2)
@@ -284,7 +286,9 @@
         def settled(ok: bool, reason: str) -> None:
             if ok or reason == "cancelled":
                 log.info("cancel %s", job)
-                self.ctx.out.append(Answer(ticket, 200, {"NameId": job, "Status": "cancelled"}))
+                self.ctx.effects.append(
+                    Response(ticket, 200, {"NameId": job, "Status": "cancelled"})
+                )
             else:
                 self._request_fresh_state(ticket, Purpose.OVER, job, None)
 
@@ -323,7 +327,7 @@
                 "done": done,
                 "running": 0,
             }
-            self.ctx.out.append(Answer(ticket, 200, body))
+            self.ctx.effects.append(Response(ticket, 200, body))
             return
         if self._has_unread_prerequisite(JobId(name), found):
             self._answer_unavailable(ticket, "what the job needs has to be read first")
@@ -339,14 +343,16 @@
         ):
             self._answer_unavailable(ticket, "conflicting changes")
             return
-        self.ctx.out.append(Answer(ticket, 200, self.describe(name, found)))
+        self.ctx.effects.append(Response(ticket, 200, self.describe(name, found)))
 
     def _answer_guest_job(self, ticket: int, purpose: Purpose, home: str) -> None:
         """Answer a request for a job of another cell; only that cell answers the job's user."""
         if purpose is Purpose.SUBMIT:
             self._answer_unavailable(ticket, f"the id is in use by a job of cell {home}", 5)
         else:
-            self.ctx.out.append(Answer(ticket, 404, {"error": f"a job of cell {home}: ask there"}))
+            self.ctx.effects.append(
+                Response(ticket, 404, {"error": f"a job of cell {home}: ask there"})
+            )
 
     def _answer_unknown_job(self, ticket: int, purpose: Purpose, spec: Job | None) -> None:
         if purpose is Purpose.SUBMIT and spec is not None:
@@ -358,7 +364,7 @@
         elif purpose is Purpose.SUBMIT:
             self._answer_unavailable(ticket, "not accepted yet")
         else:
-            self.ctx.out.append(Answer(ticket, 404, {"error": "no such job"}))
+            self.ctx.effects.append(Response(ticket, 404, {"error": "no such job"}))
 
     def describe(self, name: str, job: JobRecord) -> dict[str, Any]:
         """Return the body of an answer with a live job's state."""
@@ -407,23 +413,23 @@
             return f"waiting for {', '.join(islice(unfinished, MAX_NAMED_JOBS))}{more} to be done"
         away = self.view.away.get(JobId(name))
         if away is not None and away.away is not None:
-            return away_reason(away.away, ctx.wall)
+            return describe_remote_placement(away.away, ctx.wall_time)
         reason = self._leader_reason(name)
         job = self.view.jobs.get(JobId(name))
         if reason and job is not None and job.away is not None:
-            return f"{reason}; {away_reason(job.away, ctx.wall)}"
+            return f"{reason}; {describe_remote_placement(job.away, ctx.wall_time)}"
         return reason
 
     def _leader_reason(self, name: str) -> str:
         """Return the leader's reason, which a sibling that leads sends in its summaries."""
         ctx = self.ctx
-        if ctx.leading():
+        if ctx.is_leading():
             return self.leader_reasons().get(JobId(name), "")
         roster = self.view.roster
         peer = ctx.peers.get(roster.leader) if roster else None
-        if peer is None or ctx.now - peer.at > 5.0:
+        if peer is None or ctx.now - peer.last_frame_at > 5.0:
             return "nobody leads at the moment"
-        return peer.reasons.get(name, "")
+        return peer.waiting_reasons.get(name, "")
 
     def forget_ticket(self, ticket: int) -> None:
         """Drop a request whose client has disconnected or was told to retry."""
--- a/coursefold/coordination/transitions.py
+++ b/coursefold/coordination/transitions.py
@@ -36,7 +36,10 @@
         """
         task = jobs.TaskRef(entry.index, entry.attempt, machine=machine)
         return self.propose_transition(
-            job_id, jobs.TaskTransition(kind, (task,), self.ctx.me, self.ctx.wall), tag, rank
+            job_id,
+            jobs.TaskTransition(kind, (task,), self.ctx.own_name, self.ctx.wall_time),
+            tag,
+            rank,
         )
 
     def propose_transition(
--- a/coursefold/coordination/upgrade.py
+++ b/coursefold/coordination/upgrade.py
@@ -71,17 +71,17 @@
     def announce_version(self) -> None:
         """Write this process's version record, in the transaction in which it joins."""
         ctx = self.ctx
-        own_version = Version(self.target_level, ctx.permit)
-        if not ctx.permit or ctx.view.versions.get(ctx.me) == own_version:
+        own_version = Version(self.target_level, ctx.lease_id)
+        if not ctx.lease_id or ctx.view.versions.get(ctx.own_name) == own_version:
             return
 
         def change(current: Struct | None) -> Result:
-            if current == own_version or own_version.permit != ctx.permit:
+            if current == own_version or own_version.permit != ctx.lease_id:
                 raise NotApplicableError("known")
             return own_version
 
-        key = records.version_key(ctx.me)
-        ctx.queue.propose(Edit(key, change, rank=FIRST, tag=f"version{ctx.permit}"))
+        key = records.version_key(ctx.own_name)
+        ctx.queue.propose(Edit(key, change, rank=FIRST, tag=f"version{ctx.lease_id}"))
 
     def has_current_version(self, member: str) -> bool:
         """Return whether the member's live process can read the formats in use.
@@ -115,14 +115,14 @@
     def tick(self) -> None:
         """Publish the own version, check the others' versions, and switch while leading."""
         ctx = self.ctx
-        if not ctx.view.loaded or not ctx.permit or ctx.now >= ctx.lease_until:
+        if not ctx.view.loaded or not ctx.lease_id or ctx.now >= ctx.lease_until:
             return
         self.announce_version()
         if ctx.now - self.last_check_at < CHECK_INTERVAL_S:
             return
         self.last_check_at = ctx.now
         self._update_absences()
-        if not ctx.leading():
+        if not ctx.is_leading():
             self.unchecked_keys = None
             return
         self._remove_stale_versions()
@@ -138,7 +138,7 @@
         """
         ctx = self.ctx
         for name in self.controller_names:
-            if name in ctx.view.members or ctx.now - ctx.follow_ok_at > 2.0:
+            if name in ctx.view.members or ctx.now - ctx.watch_ok_at > 2.0:
                 self.absent_since.pop(name, None)
             else:
                 self.absent_since.setdefault(name, ctx.now)
