--- a/coursefold/service.py
+++ b/coursefold/service.py
@@ -1,4 +1,4 @@
-"""Ties transport and core together: one process, one event loop."""
+"""The controller process: connects the core to its transports on one event loop."""
 
 import asyncio
 import logging
@@ -26,9 +26,9 @@
 from coursefold.storage.batches import Batch
 from coursefold.storage.records import Ending, ending_key
 from coursefold.transport.http_client import HttpClient, NoResponseError
-from coursefold.transport.peers import PeerLink, PeerServer
+from coursefold.transport.peers import PeerSender, PeerServer
 from coursefold.transport.server import Server
-from coursefold.transport.state import StateClient, UnavailableError, jitter
+from coursefold.transport.state import StateClient, UnavailableError, add_jitter
 
 if TYPE_CHECKING:
     from coursefold.cells.config import CellsConfig
@@ -37,31 +37,46 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.25
-GATHER_S = 0.2
-IDLE_PARTS = 8.0
-LONGEST_S = 0.5
-FOLLOW_MS = 3000
-FOLLOW_COST = 4.0
-FOLLOW_S = 0.2
-VOUCH_COST = 5.0
-VOUCH_S = 0.25
-PEER_S = 0.7
-DIRECT_S = 3.0  # later the worker's next report has brought the command
-COMMITS = 3
-STATE_CONNECTIONS = 8
-CLOUD_CONNECTIONS = 4
-MAX_DIRECT_REQUESTS = 30  # commands to workers' own addresses at once
-OWN_FILES = 12  # listeners, the event loop, standard streams, a few to spare
-
-
-def now() -> MonotonicTime:
-    """The steady clock."""
+IDLE_TICK_INTERVAL_S = 0.25  # wait for a change before a tick runs without one
+MIN_TICK_PAUSE_S = 0.2
+TICK_PAUSE_RATIO = 8.0  # pause after a tick, as a multiple of its processor time
+MAX_TICK_PAUSE_S = 0.5
+WATCH_WAIT_MS = 3000
+WATCH_RATE_DIVISOR = 4.0  # watches use 1/4 of a controller's part of the request rate at most
+MIN_WATCH_PAUSE_S = 0.2
+REFRESH_RATE_DIVISOR = 5.0  # refreshes of the view use 1/5 of it at most
+MIN_REFRESH_PAUSE_S = 0.25
+PEER_FRAME_INTERVAL_S = 0.7
+DIRECT_TIMEOUT_S = 3.0  # by then the response to the worker's next report has the command
+MAX_COMMITS_IN_FLIGHT = 3
+MAX_STATE_CONNECTIONS = 8
+MAX_CLOUD_CONNECTIONS = 4
+MAX_DIRECT_REQUESTS = 30  # requests with commands to workers' own addresses
+OTHER_FILE_DESCRIPTORS = 12  # listeners, the event loop, standard streams, some in reserve
+
+
+def read_clock() -> MonotonicTime:
+    """Return the monotonic time."""
     return MonotonicTime(time.monotonic())
 
 
 class Service:
-    """The running controller."""
+    """A running controller.
+
+    Attributes:
+        core: The controller's state and decisions, without I/O.
+        watch_pause_s: Pause after a watch that returned changes.
+        refresh_pause_s: Pause before a refresh of the view, so that one serves many requests.
+        direct_slots: Limits the concurrent requests with commands to workers.
+        cell_transport: The connections to other cells; None without a cells file.
+        peer_senders: The connections to the siblings, by member name.
+        refresh_requested: Set when requests wait for a refreshed view.
+        commit_requested: Set when the commit queue may have something to send.
+        tick_requested: Set when a change is to be decided on.
+        lease_duration_ms: Duration of this process's lease, in ms.
+        background_tasks: The running asyncio tasks.
+        commits_in_flight: The number of transactions without a response.
+    """
 
     def __init__(
         self,
@@ -73,145 +88,178 @@
         self.settings = settings
         self.core = Core(settings, policy)
         params = settings.params
-        nodes = len(settings.siblings) + 1
-        self.state = StateClient(
-            settings.services.state, params.state.rps, nodes, now, self._state_heard
+        controller_count = len(settings.siblings) + 1
+        self.state_client = StateClient(
+            settings.services.state,
+            params.state.rps,
+            controller_count,
+            read_clock,
+            self._record_state_response,
         )
-        # All nodes follow, and all count against one rate: each about a sixth of its part.
-        # Where the rate is high, what each request costs us sets the pace.
-        self.follow_pause = max(FOLLOW_S, nodes * FOLLOW_COST / params.state.rps)
-        self.vouch_pause = max(VOUCH_S, nodes * VOUCH_COST / params.state.rps)
-        self.cloud = HttpClient(settings.services.cloud, connections=CLOUD_CONNECTIONS)
-        self.directs = asyncio.Semaphore(MAX_DIRECT_REQUESTS)
+        # The requests of all controllers count towards one rate limit, so the pauses grow with
+        # the number of controllers. Where the rate is high, the minimum pauses apply: they limit
+        # the processor time that the requests take.
+        self.watch_pause_s = max(
+            MIN_WATCH_PAUSE_S, controller_count * WATCH_RATE_DIVISOR / params.state.rps
+        )
+        self.refresh_pause_s = max(
+            MIN_REFRESH_PAUSE_S, controller_count * REFRESH_RATE_DIVISOR / params.state.rps
+        )
+        self.cloud_client = HttpClient(
+            settings.services.cloud, max_connections=MAX_CLOUD_CONNECTIONS
+        )
+        self.direct_slots = asyncio.Semaphore(MAX_DIRECT_REQUESTS)
         reserved = (
-            OWN_FILES + STATE_CONNECTIONS + 1 + CLOUD_CONNECTIONS + MAX_DIRECT_REQUESTS + 2 * nodes
+            OTHER_FILE_DESCRIPTORS
+            + MAX_STATE_CONNECTIONS
+            + 1
+            + MAX_CLOUD_CONNECTIONS
+            + MAX_DIRECT_REQUESTS
+            + 2 * controller_count
         )
-        self.cell_transport = self._open_cells(cells) if cells is not None else None
+        self.cell_transport = self._create_cell_transport(cells) if cells is not None else None
         if shares is not None:
-            from coursefold.shares.shares import Shares  # its libraries take memory
+            from coursefold.shares.shares import Shares  # loads libraries that take memory
 
             Shares(shares, self.core)
         if self.cell_transport is not None:
-            reserved += self.cell_transport.sockets
-        self.server = Server(settings.listen, self._request, params.resources.fd_limit - reserved)
-        self.peer_server = PeerServer(settings.peer_listen, self._peer)
-        self.links = {
-            s.member: PeerLink(s.member, s.peer_addr, self._linked, self._frame, PEER_S)
+            reserved += self.cell_transport.max_sockets
+        self.server = Server(
+            settings.listen, self._handle_request, params.resources.fd_limit - reserved
+        )
+        self.peer_server = PeerServer(settings.peer_listen, self._receive_frame)
+        self.peer_senders = {
+            s.member: PeerSender(
+                s.member,
+                s.peer_addr,
+                self._handle_peer_connected,
+                self._build_next_frame,
+                PEER_FRAME_INTERVAL_S,
+            )
             for s in settings.siblings
         }
-        self.asked = asyncio.Event()
-        self.life_ms = int(min(2500.0, params.workers.lease_s * 250.0))
-        self.wake = asyncio.Event()
-        self.dirty = asyncio.Event()
+        self.refresh_requested = asyncio.Event()
+        self.lease_duration_ms = int(min(2500.0, params.workers.lease_s * 250.0))
+        self.commit_requested = asyncio.Event()
+        self.tick_requested = asyncio.Event()
         self.background_tasks: set[asyncio.Task[None]] = set()
-        self.flying = 0
-        self.permit_ready = asyncio.Event()
+        self.commits_in_flight = 0
+        self.lease_granted = asyncio.Event()  # unused
 
-    def _open_cells(self, config: "CellsConfig") -> "CellTransport":
-        # Their libraries take memory only where there are cells.
+    def _create_cell_transport(self, config: "CellsConfig") -> "CellTransport":
+        # Imported here because the libraries take memory, which only cells need.
         from coursefold.cells.cells import Cells
         from coursefold.transport.cells import CellTransport
 
         cells = Cells(config, self.core)
 
-        def take(frame: bytes, address: str) -> bool:
-            self._enter()
-            good = cells.take(frame, address)
-            self._changed()
-            return good
+        def handle_frame(frame: bytes, address: str) -> bool:
+            self._enter_core()
+            keep_connection = cells.take(frame, address)
+            self._request_tick()
+            return keep_connection
 
-        return CellTransport(config, cells, take)
+        return CellTransport(config, cells, handle_frame)
 
-    def _spawn(self, work: Any) -> None:
-        task = asyncio.ensure_future(work)
+    def _spawn(self, coroutine: Any) -> None:
+        task = asyncio.ensure_future(coroutine)
         self.background_tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._handle_task_end)
 
-    def _ended(self, task: "asyncio.Task[None]") -> None:
+    def _handle_task_end(self, task: "asyncio.Task[None]") -> None:
         self.background_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("a background task failed", exc_info=task.exception())
+            log.error("background task failed", exc_info=task.exception())
 
     async def run(self) -> None:
-        """Until killed."""
-        for link in self.links.values():
-            self._spawn(link.run())
-        for link in self.cell_transport.links if self.cell_transport else ():
-            self._spawn(link.run())
-        for loop in (self._lease, self._follow, self._vouch, self._commits, self._ticks):
-            self._spawn(self._forever(loop))
+        """Run until the process is killed."""
+        for sender in self.peer_senders.values():
+            self._spawn(sender.run())
+        for sender in self.cell_transport.senders if self.cell_transport else ():
+            self._spawn(sender.run())
+        for loop in (
+            self._hold_lease,
+            self._watch_changes,
+            self._refresh_view,
+            self._commit_batches,
+            self._run_ticks,
+        ):
+            self._spawn(self._run_forever(loop))
         await asyncio.Event().wait()
 
-    async def _forever(self, loop: Any) -> None:
-        """A fault in one loop is logged and must not end the process or the loop."""
+    async def _run_forever(self, loop: Any) -> None:
+        """Run a loop; after an error, log it and start the loop again."""
         while True:
             try:
                 await loop()
             except Exception:
-                log.exception("loop %s", loop.__name__)
+                log.exception("background loop %s failed; starting it again", loop.__name__)
                 await asyncio.sleep(0.5)
 
     # Core
 
-    def _enter(self) -> Core:
-        self.core.set_time(now(), WallTime(time.time()))
+    def _enter_core(self) -> Core:
+        """Set the core's time, which each use of it requires, and return the core."""
+        self.core.set_time(read_clock(), WallTime(time.time()))
         return self.core
 
-    def _flush(self) -> None:
-        """Carry out what the core asks for."""
+    def _carry_out_effects(self) -> None:
+        """Carry out the effects that the core has requested."""
         for effect in self.core.take_effects():
             if isinstance(effect, Response):
                 self.server.respond(effect.ticket, effect.status, effect.body, effect.retry_after)
             elif isinstance(effect, RefreshView):
-                self.asked.set()
+                self.refresh_requested.set()
             elif isinstance(effect, ReadJobResult):
-                self._spawn(self._read(effect.ticket, JobId(effect.job)))
+                self._spawn(self._read_job_result(effect.ticket, JobId(effect.job)))
             elif isinstance(effect, CloudCall):
-                self._spawn(self._cloud_call(effect))
+                self._spawn(self._call_cloud(effect))
             elif isinstance(effect, SendCommands):
                 self._spawn(self._send_commands(effect))
             elif isinstance(effect, NotifyPeers):
                 for member in effect.members:
-                    self.links[member].wake.set()
+                    self.peer_senders[member].wake_event.set()
         if self.core.queue.fresh:
             self.core.queue.fresh = False
-            self.wake.set()
+            self.commit_requested.set()
 
-    def _changed(self) -> None:
-        self.dirty.set()
+    def _request_tick(self) -> None:
+        self.tick_requested.set()
 
-    async def _ticks(self) -> None:
-        """Let the core decide: soon after a change, but never more than a part of the time."""
-        cost = 0.0
+    async def _run_ticks(self) -> None:
+        """Run the core's ticks: soon after a change, within a limited share of the time."""
+        tick_cpu_s = 0.0
         while True:
-            # What comes meanwhile is decided on together. A round that takes long is
-            # followed by a longer pause, so that reports are answered in between.
-            await asyncio.sleep(min(LONGEST_S, max(GATHER_S, cost * IDLE_PARTS)))
+            # One tick handles all changes that arrive during the pause. A tick that takes long
+            # is followed by a longer pause, so that reports get their responses in between.
+            await asyncio.sleep(
+                min(MAX_TICK_PAUSE_S, max(MIN_TICK_PAUSE_S, tick_cpu_s * TICK_PAUSE_RATIO))
+            )
             try:
-                async with asyncio.timeout(TICK_S):
-                    await self.dirty.wait()
+                async with asyncio.timeout(IDLE_TICK_INTERVAL_S):
+                    await self.tick_requested.wait()
             except TimeoutError:
                 pass
-            self.dirty.clear()
-            began = time.process_time()
-            core = self._enter()
+            self.tick_requested.clear()
+            started_at = time.process_time()
+            core = self._enter_core()
             core.tick()
             for ticket in self.server.list_overdue():
                 core.forget_ticket(ticket)
                 self.server.respond(ticket, 503, {"error": "busy"}, 1)
-            self._flush()
-            cost = min(1.0, time.process_time() - began)
+            self._carry_out_effects()
+            tick_cpu_s = min(1.0, time.process_time() - started_at)
 
     # HTTP
 
-    def _request(self, ticket: int, method: str, path: str, body: bytes) -> None:
-        core = self._enter()
+    def _handle_request(self, ticket: int, method: str, path: str, body: bytes) -> None:
+        core = self._enter_core()
         try:
             self._route(core, ticket, method, path, body)
         except Exception:
-            log.exception("request %s %s", method, path[:100])
+            log.exception("request failed: %s %s", method, path[:100])
             self.server.respond(ticket, 500, {"error": "internal"})
-        self._flush()
+        self._carry_out_effects()
 
     def _route(self, core: Core, ticket: int, method: str, path: str, body: bytes) -> None:
         if path == "/agent/beat" and method == "POST":
@@ -224,10 +272,10 @@
         elif path.startswith("/shares/") and method == "POST":
             core.handle_operator_command(path, body, ticket)
         elif path.startswith("/work/"):
-            job, slash, verb = path.removeprefix("/work/").partition("/")
+            job, slash, action = path.removeprefix("/work/").partition("/")
             if method == "GET" and not slash:
                 core.poll(job, ticket)
-            elif method == "POST" and verb == "cancel":
+            elif method == "POST" and action == "cancel":
                 core.cancel(job, ticket)
             else:
                 self.server.respond(ticket, 404, {"error": "no such path"})
@@ -236,21 +284,21 @@
 
     # Peers
 
-    def _linked(self, member: str) -> None:
-        self._enter().peer_connected(member)
+    def _handle_peer_connected(self, member: str) -> None:
+        self._enter_core().peer_connected(member)
 
-    def _frame(self, member: str) -> bytes:
-        return self._enter().next_frame(member)
+    def _build_next_frame(self, member: str) -> bytes:
+        return self._enter_core().next_frame(member)
 
-    def _peer(self, frame: bytes, address: str) -> bool:
-        good = self._enter().receive_frame(frame)
-        self._flush()
-        self._changed()
-        return good
+    def _receive_frame(self, frame: bytes, address: str) -> bool:
+        keep_connection = self._enter_core().receive_frame(frame)
+        self._carry_out_effects()
+        self._request_tick()
+        return keep_connection
 
     # Cloud
 
-    async def _cloud_call(self, call: CloudCall) -> None:
+    async def _call_cloud(self, call: CloudCall) -> None:
         body = call.body
         paths = {
             "catalog": ("GET", "/catalog"),
@@ -262,252 +310,265 @@
         if call.verb == "list" and not body.get("From"):
             path = f"/machines?Page={body.get('Page', 500)}"
         try:
-            status, answer = await self.cloud.fetch(
+            status, response = await self.cloud_client.fetch(
                 method, path, encode(body) if method == "POST" else None, 4.0
             )
-        except NoResponseError as wrong:
-            log.debug("cloud: %s", wrong)
-            status, answer = 0, b""
-        self._enter().receive_cloud_response(call.call_id, status, answer)
-        self._flush()
-        self._changed()
-
-    async def _send_commands(self, direct: SendCommands) -> None:
-        """Commands to a worker's address; its next report tells what came of them."""
+        except NoResponseError as error:
+            log.debug("cloud request failed: %s", error)
+            status, response = 0, b""
+        self._enter_core().receive_cloud_response(call.call_id, status, response)
+        self._carry_out_effects()
+        self._request_tick()
+
+    async def _send_commands(self, effect: SendCommands) -> None:
+        """Send commands to a worker's own address.
+
+        Failures are only logged: the worker's next report shows which commands it carried out.
+        """
         try:
-            client = HttpClient(direct.address, 1)
-        except ValueError as wrong:
-            log.error("worker address: %s", wrong)
+            client = HttpClient(effect.address, 1)
+        except ValueError as error:
+            log.error("cannot send commands to a worker: invalid address: %s", error)
             return
-        body = encode(DirectCommands(direct.token, direct.session, direct.commands))
+        body = encode(DirectCommands(effect.token, effect.session, effect.commands))
         try:
-            # A zone's worth of machines that do not answer must not use up the sockets.
-            async with asyncio.timeout(DIRECT_S), self.directs:
-                status, _ = await client.fetch("POST", "/orders", body, DIRECT_S)
-            log.debug("orders to %s: %d", direct.address, status)
-        except (NoResponseError, TimeoutError) as wrong:
-            log.debug("orders to %s: %s", direct.address, wrong)
+            # The limit keeps the machines of a whole zone that do not respond from using up
+            # the sockets.
+            async with asyncio.timeout(DIRECT_TIMEOUT_S), self.direct_slots:
+                status, _ = await client.fetch("POST", "/orders", body, DIRECT_TIMEOUT_S)
+            log.debug("commands to %s: status %d", effect.address, status)
+        except (NoResponseError, TimeoutError) as error:
+            log.debug("commands to %s failed: %s", effect.address, error)
         finally:
             client.close()
 
     # State service
 
-    def _state_heard(self, sent: MonotonicTime) -> None:
+    def _record_state_response(self, sent_at: MonotonicTime) -> None:
         ctx = self.core.ctx
-        ctx.state_ok_at = max(ctx.state_ok_at, sent)
+        ctx.state_ok_at = max(ctx.state_ok_at, sent_at)
 
-    async def _lease(self) -> None:
-        """Hold a lease: its number is this process's incarnation."""
+    async def _hold_lease(self) -> None:
+        """Create and renew the lease whose id is this process's incarnation."""
         ctx = self.core.ctx
-        period = self.life_ms / 4000.0
+        renewal_interval_s = self.lease_duration_ms / 4000.0
         while True:
-            sent = now()
+            sent_at = read_clock()
             try:
                 if not ctx.lease_id:
-                    ctx.lease_id = await self.state.grant(self.life_ms)
-                    log.info("lease %d for %d ms", ctx.lease_id, self.life_ms)
-                elif not await self.state.touch(ctx.lease_id):
-                    log.info("lease %d has ended", ctx.lease_id)
+                    ctx.lease_id = await self.state_client.grant_lease(self.lease_duration_ms)
+                    log.info("got lease %d for %d ms", ctx.lease_id, self.lease_duration_ms)
+                elif not await self.state_client.renew_lease(ctx.lease_id):
+                    log.info("lease %d has expired", ctx.lease_id)
                     ctx.lease_id = 0
                     ctx.lease_until = MonotonicTime(0.0)
                     continue
-                ctx.lease_until = MonotonicTime(sent + self.life_ms / 1000.0 * 0.998)
-                self._changed()
-                await asyncio.sleep(period)
-            except UnavailableError as wrong:
-                log.debug("lease: %s", wrong)
-                await asyncio.sleep(jitter(0.3))
-
-    async def _follow(self) -> None:
-        """Load everything, then follow the changes."""
+                # Counted from the sending of the request, less 0.2 % for the drift of clocks.
+                ctx.lease_until = MonotonicTime(sent_at + self.lease_duration_ms / 1000.0 * 0.998)
+                self._request_tick()
+                await asyncio.sleep(renewal_interval_s)
+            except UnavailableError as error:
+                log.debug("creating or renewing the lease failed: %s", error)
+                await asyncio.sleep(add_jitter(0.3))
+
+    async def _watch_changes(self) -> None:
+        """Load all records, then watch for changes; load again when the revision is too old."""
         view = self.core.view
         ctx = self.core.ctx
         since = -1
         while True:
-            sent = now()
+            sent_at = read_clock()
             try:
                 if since < 0:
-                    rows, since = await self._load()
-                    self._enter()
-                    view.reload([(r.key, r.value, r.version) for r in rows], since)
-                    ctx.watch_ok_at = max(ctx.watch_ok_at, sent)
-                    log.info("%d records read at revision %d", len(rows), since)
-                    self._changed()
+                    rows, since = await self._load_records()
+                    self._enter_core()
+                    view.reload([(row.key, row.value, row.version) for row in rows], since)
+                    ctx.watch_ok_at = max(ctx.watch_ok_at, sent_at)
+                    log.info("loaded %d records at revision %d", len(rows), since)
+                    self._request_tick()
                     continue
-                news = await self.state.follow(records.ROOT, since, FOLLOW_MS)
-                if news is None:
+                changes = await self.state_client.watch(records.ROOT, since, WATCH_WAIT_MS)
+                if changes is None:
                     since = -1
                     continue
-                since = max(since, self._news(news, sent))
-                if news.updates:
-                    await asyncio.sleep(self.follow_pause)
-            except UnavailableError as wrong:
-                log.debug("follow: %s", wrong)
-                await asyncio.sleep(jitter(0.3))
-
-    def _news(self, news: WatchResponse, sent: MonotonicTime) -> int:
-        """Take changes; the view is then as new as `sent`."""
+                since = max(since, self._apply_changes(changes, sent_at))
+                if changes.updates:
+                    await asyncio.sleep(self.watch_pause_s)
+            except UnavailableError as error:
+                log.debug("loading or watching records failed: %s", error)
+                await asyncio.sleep(add_jitter(0.3))
+
+    def _apply_changes(self, changes: WatchResponse, sent_at: MonotonicTime) -> int:
+        """Apply changes to the view, which is then as new as `sent_at`; return their revision."""
         view, ctx = self.core.view, self.core.ctx
-        self._enter()
-        for item in news.updates:
-            if item.set_key is not None:
-                view.put(item.set_key, item.value, item.version)
-            elif item.removed_key is not None:
-                view.drop(item.removed_key, item.version)
-        view.ledger = max(view.ledger, news.revision)
-        ctx.watch_ok_at = max(ctx.watch_ok_at, sent)
-        if news.updates:
-            self._changed()
-        return news.revision
-
-    async def _vouch(self) -> None:
-        """Bring the view up to date for the questions that wait, all at once."""
+        self._enter_core()
+        for update in changes.updates:
+            if update.set_key is not None:
+                view.put(update.set_key, update.value, update.version)
+            elif update.removed_key is not None:
+                view.drop(update.removed_key, update.version)
+        view.ledger = max(view.ledger, changes.revision)
+        ctx.watch_ok_at = max(ctx.watch_ok_at, sent_at)
+        if changes.updates:
+            self._request_tick()
+        return changes.revision
+
+    async def _refresh_view(self) -> None:
+        """Refresh the view, once for all requests that wait for it."""
         core = self.core
         while True:
-            await self.asked.wait()
-            await asyncio.sleep(self.vouch_pause)
-            self.asked.clear()
+            await self.refresh_requested.wait()
+            await asyncio.sleep(self.refresh_pause_s)
+            self.refresh_requested.clear()
             tickets, core.requests_awaiting_refresh = core.requests_awaiting_refresh, []
-            sent = now()
+            sent_at = read_clock()
             try:
-                news = await self._up_to_now()
-            except UnavailableError as wrong:
-                log.debug("vouch: %s", wrong)
-                self._enter()
+                changes = await self._read_latest_changes()
+            except UnavailableError as error:
+                log.debug("refreshing the view failed: %s", error)
+                self._enter_core()
                 for ticket in tickets:
                     core.read_failed(ticket)
             else:
-                self._news(news, sent)
+                self._apply_changes(changes, sent_at)
                 core.view_refreshed(tickets)
-            self._flush()
+            self._carry_out_effects()
 
-    async def _up_to_now(self) -> WatchResponse:
-        """All changes that the view does not show yet; tried again when over the rate."""
+    async def _read_latest_changes(self) -> WatchResponse:
+        """Return all changes that the view lacks; retried when over the rate limit (429)."""
         for attempt in range(4):
             try:
-                news = await self.state.follow(records.ROOT, self.core.view.ledger, 0)
-                if news is not None:
-                    return news
-                raise UnavailableError("the view is too old", 0)
-            except UnavailableError as wrong:
-                if wrong.status != 429 or attempt == 3:
+                changes = await self.state_client.watch(records.ROOT, self.core.view.ledger, 0)
+                if changes is not None:
+                    return changes
+                raise UnavailableError("the view's revision is too old to watch from", 0)
+            except UnavailableError as error:
+                if error.status != 429 or attempt == 3:
                     raise
-            await asyncio.sleep(jitter(0.15))
+            await asyncio.sleep(add_jitter(0.15))
         raise AssertionError("not reached")
 
-    async def _load(self) -> tuple[list[KeyRow], int]:
-        """All live keys; endings stay out of memory."""
-        found, first = await self.state.rows(records.CATALOG_KEY)
-        rows, _ = await self.state.rows(records.ROOT, after=records.ENDING_PREFIX + "~")
-        return found + rows, first
+    async def _load_records(self) -> tuple[list[KeyRow], int]:
+        """Return all records but archived endings, to save memory, and a revision.
+
+        The records are at least as new as the revision. The catalog's key sorts before the
+        endings, so it takes a request of its own.
+        """
+        found, revision = await self.state_client.list_rows(records.CATALOG_KEY)
+        rows, _ = await self.state_client.list_rows(records.ROOT, after=records.ENDING_PREFIX + "~")
+        return found + rows, revision
 
-    async def _commits(self) -> None:
-        """Send transactions, a few at a time; read again what is uncertain."""
+    async def _commit_batches(self) -> None:
+        """Commit the queue's batches, a few at a time, and reread keys with uncertain values."""
         queue = self.core.queue
         while True:
             try:
                 async with asyncio.timeout(0.1 if queue.waiting else 1.0):
-                    await self.wake.wait()
+                    await self.commit_requested.wait()
             except TimeoutError:
                 pass
-            self.wake.clear()
+            self.commit_requested.clear()
             for key in queue.stale_keys():
-                if not await self._refresh(key):
-                    await asyncio.sleep(jitter(0.2))
-                    self.wake.set()
+                if not await self._reread_key(key):
+                    await asyncio.sleep(add_jitter(0.2))
+                    self.commit_requested.set()
                     break
-            while self.flying < COMMITS:
-                self._enter()
-                batch = queue.next_batch(now())
+            while self.commits_in_flight < MAX_COMMITS_IN_FLIGHT:
+                self._enter_core()
+                batch = queue.next_batch(read_clock())
                 if batch is None:
                     break
-                self.flying += 1
-                self._spawn(self._send(batch))
-            self._flush()
+                self.commits_in_flight += 1
+                self._spawn(self._commit_batch(batch))
+            self._carry_out_effects()
 
-    async def _send(self, batch: Batch) -> None:
+    async def _commit_batch(self, batch: Batch) -> None:
         queue = self.core.queue
         try:
-            outcome = await self.state.commit(batch.body)
-            self._enter()
-            if outcome.ok:
-                queue.applied(batch, outcome.ledger)
-            elif outcome.malformed:
-                if outcome.no_lease:
-                    self.core.ctx.lease_id = 0  # get a new one
+            outcome = await self.state_client.commit(batch.body)
+            self._enter_core()
+            if outcome.is_committed:
+                queue.applied(batch, outcome.revision)
+            elif outcome.is_malformed:
+                if outcome.is_lease_missing:
+                    self.core.ctx.lease_id = 0  # makes `_hold_lease` create a new one
                     queue.lease_gone(batch)
                 else:
                     queue.invalid(batch)
             else:
-                queue.conflicted(batch, outcome.failed)
-        except UnavailableError as wrong:
-            self._enter()
-            log.debug("commit: %s", wrong)
-            if wrong.status == 429:
+                queue.conflicted(batch, outcome.failed_keys)
+        except UnavailableError as error:
+            self._enter_core()
+            log.debug("commit failed: %s", error)
+            if error.status == 429:
                 queue.slower()
-            if wrong.status in (429, 503):
-                queue.refused(batch, now(), jitter(0.25))
+            if error.status in (429, 503):
+                queue.refused(batch, read_clock(), add_jitter(0.25))
             else:
-                queue.unknown(batch, now(), jitter(0.3))
+                queue.unknown(batch, read_clock(), add_jitter(0.3))
         finally:
-            self.flying -= 1
-        self.wake.set()
-        self._flush()
-        self._changed()
+            self.commits_in_flight -= 1
+        self.commit_requested.set()
+        self._carry_out_effects()
+        self._request_tick()
+
+    async def _reread_key(self, key: str) -> bool:
+        """Reread a key whose cached value caused a conflict or may be outdated.
 
-    async def _refresh(self, key: str) -> bool:
-        """Read a key again whose value we were wrong or are uncertain about."""
+        Returns:
+            Whether the state service responded.
+        """
         queue, view = self.core.queue, self.core.view
         try:
-            row = await self.state.get(key)
+            row = await self.state_client.get_row(key)
             if row is not None:
                 parts: list[KeyRow] = []
                 if isinstance(row.value, dict):
-                    parts, _ = await self.state.rows(spreading.parts_prefix(key))
-                self._enter()
+                    parts, _ = await self.state_client.list_rows(spreading.parts_prefix(key))
+                self._enter_core()
                 view.put(key, row.value, row.version)
                 for part in parts:
                     view.put(part.key, part.value, part.version)
-                # Parts of a later Stamp belong to a newer head: it has to be read again.
+                # Parts of a later version belong to a newer head, so the key has to be read again.
                 if not view.incomplete(key):
                     queue.refreshed(key)
             elif key.startswith(records.JOB_PREFIX):
-                ended = await self.state.get(
+                ended = await self.state_client.get_row(
                     key.replace(records.JOB_PREFIX, records.ENDING_PREFIX, 1)
                 )
-                self._enter()
+                self._enter_core()
                 if ended is not None:
                     view.drop(key, ended.version)
                     queue.over(key)
                 else:
                     queue.refreshed(key)
             else:
-                self._enter()
+                self._enter_core()
                 known = view.stamp(key)
                 view.drop(key, known)
                 queue.refreshed(key)
-        except UnavailableError as wrong:
-            log.debug("read: %s", wrong)
+        except UnavailableError as error:
+            log.debug("reading a key failed: %s", error)
             return False
-        self._changed()
+        self._request_tick()
         return True
 
-    async def _read(self, ticket: int, job: JobId) -> None:
-        """The final state of a job that is not, or no longer, among the live ones."""
+    async def _read_job_result(self, ticket: int, job: JobId) -> None:
+        """Read the final state of a job that is not a live one, and pass it to the core."""
         found: Ending | None = None
         try:
-            if not self.state.try_reserve_read():
-                raise UnavailableError("over our part of the rate", 429)
-            row = await self.state.get(ending_key(job))
+            if not self.state_client.try_reserve_read():
+                raise UnavailableError("this controller's part of the read rate is used up", 429)
+            row = await self.state_client.get_row(ending_key(job))
             if row is not None:
                 ending = codec.decode_record(row.key, row.value)
                 found = ending if isinstance(ending, Ending) else None
-        except (UnavailableError, msgspec.ValidationError) as wrong:
-            log.debug("read %s: %s", job, wrong)
-            self._enter().read_failed(ticket)
+        except (UnavailableError, msgspec.ValidationError) as error:
+            log.debug("reading the result of job %s failed: %s", job, error)
+            self._enter_core().read_failed(ticket)
         else:
-            self._enter().receive_job_result(ticket, found)
-        self._flush()
+            self._enter_core().receive_job_result(ticket, found)
+        self._carry_out_effects()
 
 
 def run(
@@ -516,17 +577,23 @@
     cells: "CellsConfig | None" = None,
     shares: "SharesConfig | None" = None,
 ) -> None:
-    """Start the service, or say in one line why it cannot start."""
+    """Run a controller until the process is killed.
+
+    If it cannot listen, print the reason to standard error and exit with 1.
+    """
 
     async def main() -> None:
         try:
             service = Service(settings, policy, cells, shares)
-        except OSError as wrong:
-            print(f"coursefold: cannot listen: {wrong}", file=sys.stderr)
+        except OSError as error:
+            print(f"coursefold: cannot listen: {error}", file=sys.stderr)
             raise SystemExit(1) from None
-        log.info("member %s in %s serves at %s", settings.member, settings.zone, settings.listen)
+        log.info(
+            "member %s in zone %s listens at %s", settings.member, settings.zone, settings.listen
+        )
         await service.run()
 
-    # libuv's loop: on a fleet's reports asyncio's own spends a fifth more, all on waking up.
+    # libuv's event loop: asyncio's own takes a fifth more processor time for the reports of a
+    # fleet, all of it for wakeups.
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(main())
--- a/coursefold/transport/__init__.py
+++ b/coursefold/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: tornado servers and clients, pacing and deadlines."""
+"""Sockets: tornado servers and clients, with rate limits and timeouts."""
--- a/coursefold/transport/cells.py
+++ b/coursefold/transport/cells.py
@@ -1,33 +1,40 @@
-"""Connections between cells: each controller listens for the others', and speaks to each."""
+"""Connections between cells: each controller connects to every controller of other cells."""
 
 import logging
 
 from coursefold.cells.cells import Cells
 from coursefold.cells.config import CellsConfig
 from coursefold.settings import split_address
-from coursefold.transport.peers import FrameHandler, PeerLink, PeerServer
+from coursefold.transport.peers import FrameHandler, PeerSender, PeerServer
 
 log = logging.getLogger(__name__)
 
-PERIOD_S = 0.5
+FRAME_INTERVAL_S = 0.5
 
 
 class CellTransport:
-    """Server and links of one controller."""
-
-    def __init__(self, config: CellsConfig, cells: Cells, take: FrameHandler) -> None:
-        # As many as the other cells' controllers may take, both ways.
-        self.sockets = 1 + 2 * sum(len(entry.controllers) for entry in config.others)
-        self.server = PeerServer(config.listen, take, config.allows_any)
-        # From our own cell's address: the listener tells cells by their networks.
+    """One controller's server for frames of other cells, and its senders to them.
+
+    Attributes:
+        max_sockets: The most sockets that the server and the senders use.
+        server: Receives the frames of other cells' controllers.
+        senders: One for each controller of another cell.
+    """
+
+    def __init__(self, config: CellsConfig, cells: Cells, handle_frame: FrameHandler) -> None:
+        # The listener, and one connection each way for every controller of another cell.
+        self.max_sockets = 1 + 2 * sum(len(entry.controllers) for entry in config.others)
+        self.server = PeerServer(config.listen, handle_frame, config.allows_any)
+        # The receiver identifies a cell by the network that a connection comes from, so
+        # connections leave from the address that this controller listens at.
         source, _ = split_address(config.listen)
-        self.links = [
-            PeerLink(
+        self.senders = [
+            PeerSender(
                 member,
                 address,
-                _nothing_to_begin,
+                _log_connection,
                 lambda member, cell=entry.name: cells.frame(cell, member),  # type: ignore[misc]
-                PERIOD_S,
+                FRAME_INTERVAL_S,
                 source,
             )
             for entry in config.others
@@ -35,6 +42,6 @@
         ]
 
 
-def _nothing_to_begin(member: str) -> None:
-    """Each frame says everything, so a new connection needs no beginning."""
+def _log_connection(member: str) -> None:
+    """Log a new connection; each frame is complete, so a connection needs no first message."""
     log.debug("connected to controller %s of another cell", member)
--- a/coursefold/transport/state.py
+++ b/coursefold/transport/state.py
@@ -1,4 +1,4 @@
-"""Client of the state service: leases, follow, commits, reads."""
+"""Client of the state service: leases, watches, commits and reads."""
 
 import logging
 import random
@@ -23,133 +23,165 @@
 
 log = logging.getLogger(__name__)
 
-REQUEST_S = 1.5
-ANSWERS = frozenset({200, 400, 404, 409, 410})
+REQUEST_TIMEOUT_S = 1.5
+# Statuses with which the state service has processed a request; others mean unavailable.
+PROCESSED_STATUSES = frozenset({200, 400, 404, 409, 410})
 
 
 class UnavailableError(Exception):
-    """503, 429 or no answer; `executed` is True if it may have been carried out."""
+    """The state service refused a request, did not respond, or sent an unreadable response.
 
-    def __init__(self, why: str, status: int) -> None:
-        super().__init__(why)
+    Attributes:
+        status: The HTTP status, e.g. 429 or 503; 0 without a readable response, where the
+            request may have been executed.
+    """
+
+    def __init__(self, reason: str, status: int) -> None:
+        super().__init__(reason)
         self.status = status
 
 
-class Outcome(NamedTuple):
-    """A commit's answer."""
+class CommitOutcome(NamedTuple):
+    """The state service's response to a commit."""
 
-    ok: bool
-    ledger: int
-    failed: list[str]
-    malformed: bool = False
-    no_lease: bool = False
+    is_committed: bool
+    revision: int  # 0 if the request was malformed
+    failed_keys: list[str]  # keys whose conditions did not hold
+    is_malformed: bool = False
+    is_lease_missing: bool = False  # malformed because the lease that it names does not exist
 
 
 class StateClient:
-    """The state service by its protocol, within this node's share of its rate."""
+    """Speaks the state service's protocol.
+
+    Attributes:
+        client: The connections for all requests but waiting watches.
+        watch_client: The connection for watches that wait.
+        clock: Returns the monotonic time.
+        on_response: Called after each processed request with the time when it was sent.
+        read_budget: Limits the reads that users' requests cause.
+    """
 
     def __init__(
         self,
         address: str,
         rps: float,
-        nodes: int,
+        controller_count: int,
         clock: Callable[[], MonotonicTime],
-        heard: Callable[[MonotonicTime], None],
+        on_response: Callable[[MonotonicTime], None],
     ) -> None:
-        self.http = HttpClient(address, connections=8)
-        self.watch = HttpClient(address, connections=1)
-        self.clock, self.heard = clock, heard
-        # For users' reads of jobs that ended long ago, or are unknown. A part of their own:
-        # a leader that writes a lot would otherwise refuse the same job's polls for ever.
-        self.reads = TokenBucket(rps * 0.2 / nodes, max(2.0, rps * 0.4 / nodes))
-
-    async def _ask(
-        self, method: str, path: str, body: Any = None, timeout: float = REQUEST_S,
+        self.client = HttpClient(address, max_connections=8)
+        self.watch_client = HttpClient(address, max_connections=1)
+        self.clock, self.on_response = clock, on_response
+        # For users' reads of jobs that ended long ago, or are unknown. These have a separate
+        # budget, because a leader that writes a lot would otherwise refuse the polls of the
+        # same jobs for ever.
+        self.read_budget = TokenBucket(
+            rps * 0.2 / controller_count, max(2.0, rps * 0.4 / controller_count)
+        )
+
+    async def _send(
+        self, method: str, path: str, body: Any = None, timeout_s: float = REQUEST_TIMEOUT_S,
         client: HttpClient | None = None,
     ) -> tuple[int, bytes]:  # fmt: skip
-        sent = self.clock()
+        sent_at = self.clock()
         payload = None if body is None else encode(body)
         try:
-            status, answer = await (client or self.http).fetch(method, path, payload, timeout)
-        except NoResponseError as wrong:
-            raise UnavailableError(str(wrong), 0) from None
-        if status not in ANSWERS:
-            raise UnavailableError(f"{method} {path}: {status}", status)
-        self.heard(sent)
-        return status, answer
+            status, response = await (client or self.client).fetch(method, path, payload, timeout_s)
+        except NoResponseError as error:
+            raise UnavailableError(str(error), 0) from None
+        if status not in PROCESSED_STATUSES:
+            raise UnavailableError(f"{method} {path}: status {status}", status)
+        self.on_response(sent_at)
+        return status, response
 
     def try_reserve_read(self) -> bool:
-        """Room for one user's read? It is taken."""
-        if self.reads.refill(self.clock()) < 1.0:
+        """Reserve one read for a user's request; return False if the budget is used up."""
+        if self.read_budget.refill(self.clock()) < 1.0:
             return False
-        self.reads.spend(self.clock(), 1.0)
+        self.read_budget.spend(self.clock(), 1.0)
         return True
 
-    async def grant(self, life_ms: int) -> int:
-        """A new lease."""
-        status, answer = await self._ask("POST", "/leases", {"LifeMs": life_ms})
+    async def grant_lease(self, duration_ms: int) -> int:
+        """Create a lease and return its id."""
+        status, response = await self._send("POST", "/leases", {"LifeMs": duration_ms})
         if status != 200:
-            raise UnavailableError(f"lease: {status}", status)
-        return int(self._decode(answer, Lease).lease_id)
+            raise UnavailableError(f"creating a lease: status {status}", status)
+        return int(self._decode(response, Lease).lease_id)
 
-    async def touch(self, permit: int) -> bool:
-        """True if the lease lives; False if it has ended."""
-        status, _ = await self._ask("POST", f"/leases/{permit}/touch", {})
+    async def renew_lease(self, lease_id: int) -> bool:
+        """Renew a lease; return False if it has expired."""
+        status, _ = await self._send("POST", f"/leases/{lease_id}/touch", {})
         return status == 200
 
-    async def get(self, key: str) -> KeyRow | None:
-        """A key; None if it does not exist."""
-        status, answer = await self._ask("GET", f"/keys/{key}")
-        return self._decode(answer, KeyRow) if status == 200 else None
+    async def get_row(self, key: str) -> KeyRow | None:
+        """Return a key's value and version; None if the key does not exist."""
+        status, response = await self._send("GET", f"/keys/{key}")
+        return self._decode(response, KeyRow) if status == 200 else None
 
-    async def rows(self, prefix: str, after: str = "") -> tuple[list[KeyRow], int]:
-        """Every key with the prefix, and a revision that the listing is at least as new as."""
+    async def list_rows(self, prefix: str, after: str = "") -> tuple[list[KeyRow], int]:
+        """Return all keys with a prefix, and a revision that the list includes all changes of.
+
+        Args:
+            prefix: The prefix.
+            after: The keys up to this one are left out.
+        """
         found: list[KeyRow] = []
-        first = 0
+        first_revision = 0
         while True:
             query = {"Prefix": prefix, "Page": "1000"}
             if after:
                 query["From"] = after
-            status, answer = await self._ask("GET", "/keys?" + urlencode(query, safe="/"))
+            status, response = await self._send("GET", "/keys?" + urlencode(query, safe="/"))
             if status != 200:
-                raise UnavailableError(f"keys: {status}", status)
-            page = self._decode(answer, KeyRows)
-            first = first or page.revision
+                raise UnavailableError(f"listing keys: status {status}", status)
+            page = self._decode(response, KeyRows)
+            first_revision = first_revision or page.revision
             found.extend(page.rows)
             if not page.has_more or not page.rows:
-                return found, first
+                return found, first_revision
             after = page.rows[-1].key
 
-    async def follow(self, prefix: str, since: int, wait_ms: int) -> WatchResponse | None:
-        """Changes after a revision; None if it is too old.
+    async def watch(self, prefix: str, since: int, wait_ms: int) -> WatchResponse | None:
+        """Return the changes after a revision.
 
-        A follow that waits has a connection of its own. One that does not must not
-        queue up behind it: polls were seen to time out for that.
+        A watch that waits uses a connection of its own. One that does not wait uses the others:
+        behind a waiting watch it would be delayed for so long that polls time out.
+
+        Args:
+            prefix: The prefix of the keys to watch.
+            since: The revision.
+            wait_ms: The time to wait for a first change; 0 returns at once.
+
+        Returns:
+            The changes; None if the service no longer knows all changes after `since`.
         """
         query = urlencode({"Prefix": prefix, "From": since, "WaitMs": wait_ms}, safe="/")
-        client, timeout = (self.watch, wait_ms / 1000 + 2.0) if wait_ms else (None, REQUEST_S)
-        status, answer = await self._ask("GET", "/follow?" + query, None, timeout, client)
-        return self._decode(answer, WatchResponse) if status == 200 else None
-
-    async def commit(self, body: dict[str, Any]) -> Outcome:
-        """One transaction."""
-        status, answer = await self._ask("POST", "/commit", body)
+        client, timeout_s = (
+            (self.watch_client, wait_ms / 1000 + 2.0) if wait_ms else (None, REQUEST_TIMEOUT_S)
+        )
+        status, response = await self._send("GET", "/follow?" + query, None, timeout_s, client)
+        return self._decode(response, WatchResponse) if status == 200 else None
+
+    async def commit(self, body: dict[str, Any]) -> CommitOutcome:
+        """Send one transaction."""
+        status, response = await self._send("POST", "/commit", body)
         if status == 200:
-            return Outcome(True, self._decode(answer, CommitResult).revision, [])
+            return CommitOutcome(True, self._decode(response, CommitResult).revision, [])
         if status == 409:
-            conflict = self._decode(answer, Conflict)
-            return Outcome(False, conflict.revision, conflict.failed)
-        log.error("commit refused: %d %r", status, answer[:200])
-        return Outcome(False, 0, [], malformed=True, no_lease=b"lease" in answer)
+            conflict = self._decode(response, Conflict)
+            return CommitOutcome(False, conflict.revision, conflict.failed)
+        log.error("state service refused a commit as malformed: %d %r", status, response[:200])
+        return CommitOutcome(False, 0, [], is_malformed=True, is_lease_missing=b"lease" in response)
 
     @staticmethod
-    def _decode(answer: bytes, shape: Any) -> Any:
+    def _decode(response: bytes, message_type: Any) -> Any:
         try:
-            return decode(answer, shape)
-        except MalformedError as wrong:
-            raise UnavailableError(f"answer not readable: {wrong}", 0) from None
+            return decode(response, message_type)
+        except MalformedError as error:
+            raise UnavailableError(f"response is unreadable: {error}", 0) from None
 
 
-def jitter(pause: float) -> float:
-    """A pause, up to two fifths shorter or longer."""
-    return pause * random.uniform(0.6, 1.4)
+def add_jitter(duration_s: float) -> float:
+    """Return a duration made up to 40 % shorter or longer at random."""
+    return duration_s * random.uniform(0.6, 1.4)
