--- a/coursefold/policy/__init__.py
+++ b/coursefold/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' policy: rules on pools and the control loop's parameters."""
+"""The operators' policy: rules for the sizes of pools, and parameters of the control loop."""
 
 from coursefold.policy.model import DEFAULT_PARAMETERS, Adjustment, Parameters, Policy
 
--- a/coursefold/policy/language.py
+++ b/coursefold/policy/language.py
@@ -1,4 +1,6 @@
-"""The policy language: grammar, checker, and messages that name line and column.
+"""The policy language: grammar and type checker; errors name line and column.
+
+An example of a policy:
 
 set eta = 0.0005
 set idle = 30 s
@@ -61,21 +63,23 @@
 %ignore COMMENT
 """
 
+# Variables that conditions may use, and their types.
 VARIABLE_TYPES = {
     "lambda": "number",  # arrivals per second, in slots
-    "mu": "number",  # one over the mean run time
-    "c": "number",  # slots of the pool
-    "cstar": "number",
-    "busy": "number",
-    "queue": "number",  # slots' worth of waiting tasks
-    "machines": "number",
+    "mu": "number",  # 1 / mean run time in seconds
+    "c": "number",  # slots of the pool now
+    "cstar": "number",  # target size of the pool in slots
+    "busy": "number",  # slots in use
+    "queue": "number",  # slots that the waiting tasks need
+    "machines": "number",  # machines of the pool
     "price": "number",  # per slot and hour
     "losses": "number",  # machines lost per hour
-    "idle": "duration",  # of the machine that has been empty longest
-    "spot": "truth",
-    "pool": "text",
+    "idle": "duration",  # of the machine that has been idle longest
+    "spot": "truth",  # whether the pool is of spot machines
+    "pool": "text",  # machine type and kind, such as "g2/spot"
 }
 
+# Minimum, maximum and type of each parameter.
 PARAMETER_BOUNDS = {
     "eta": (1e-6, 0.999999, "number"),
     "kp": (0.05, 3.0, "number"),
@@ -89,8 +93,9 @@
 
 MAX_POLICY_CHARS = 32 * 1024
 MAX_RULES = 50
-MAX_CONDITION_NODES = 60
-MAX_MACHINES = 100_000  # far above any fleet: a slip of the pen, not a wish
+MAX_CONDITION_NODES = 60  # expressions in one condition, nested ones included
+MAX_MACHINES = 100_000  # far above the size of any fleet: a larger count is a typing error
+# Minimum and maximum of the machine count of each action.
 ACTION_BOUNDS = {
     "recruit": (1, MAX_MACHINES),
     "release": (1, MAX_MACHINES),
@@ -100,17 +105,20 @@
 
 
 class PolicyError(Exception):
-    """One plain line: where, and what is wrong."""
+    """An invalid policy; the message is one line with position and fault."""
 
 
-def _error_at(where: Any, what: str) -> PolicyError:
-    if isinstance(where, Tree):
-        return PolicyError(f"line {where.meta.line}, column {where.meta.column}: {what}")
-    return PolicyError(f"line {where.line}, column {where.column}: {what}")
+def _error_at(position: Any, fault: str) -> PolicyError:
+    if isinstance(position, Tree):
+        return PolicyError(f"line {position.meta.line}, column {position.meta.column}: {fault}")
+    return PolicyError(f"line {position.line}, column {position.column}: {fault}")
 
 
 class _Checker:
-    """Turns a parsed tree into typed expressions, or says what does not fit."""
+    """Converts the parse tree of one condition or value into typed expressions.
+
+    Raises PolicyError where the types of operands do not match.
+    """
 
     def __init__(self) -> None:
         self.node_count = 0
@@ -118,7 +126,7 @@
     def build_expression(self, tree: Any) -> Expression:
         self.node_count += 1
         if self.node_count > MAX_CONDITION_NODES:
-            raise _error_at(tree, f"a condition of more than {MAX_CONDITION_NODES} parts")
+            raise _error_at(tree, f"the condition has more than {MAX_CONDITION_NODES} parts")
         match tree.data:
             case "quantity":
                 return self.build_quantity(tree)
@@ -130,58 +138,65 @@
                     raise _error_at(token, f"unknown name {str(token)!r}")
                 return Variable(VARIABLE_TYPES[str(token)], str(token))
             case "negative":
-                inner = self.build_expression(tree.children[1])
-                if inner.value_type not in ("number", "duration"):
-                    raise _error_at(tree, f"a sign before a {inner.value_type}")
-                return Negative(inner) if str(tree.children[0]) == "-" else inner
+                operand = self.build_expression(tree.children[1])
+                if operand.value_type not in ("number", "duration"):
+                    raise _error_at(
+                        tree,
+                        f"a sign before a {operand.value_type}; it needs a number or a duration",
+                    )
+                return Negative(operand) if str(tree.children[0]) == "-" else operand
             case "negation":
-                inner = self.build_expression(tree.children[1])
-                if inner.value_type != "truth":
-                    raise _error_at(tree, f"'not' before a {inner.value_type}")
-                return Not(inner)
+                operand = self.build_expression(tree.children[1])
+                if operand.value_type != "truth":
+                    raise _error_at(tree, f"'not' before a {operand.value_type}; it needs a truth")
+                return Not(operand)
         left = self.build_expression(tree.children[0])
-        for at in range(1, len(tree.children), 2):
-            token = tree.children[at]
-            left = self._build_binary(token, left, self.build_expression(tree.children[at + 1]))
+        for index in range(1, len(tree.children), 2):
+            token = tree.children[index]
+            left = self._build_binary(token, left, self.build_expression(tree.children[index + 1]))
         return left
 
     @staticmethod
     def build_quantity(tree: Any) -> Literal:
         number = float(tree.children[0])
         if not math.isfinite(number):
-            raise _error_at(tree, "a number out of range")
+            raise _error_at(tree, "the number is out of range")
         if len(tree.children) == 1:
             return Literal("number", number)
         return Literal("duration", number * (60.0 if str(tree.children[1]) == "min" else 1.0))
 
     @staticmethod
     def _build_binary(token: Token, left: Expression, right: Expression) -> Binary:
-        op = str(token)
-        kinds = (left.value_type, right.value_type)
-        if op in ("and", "or"):
-            if kinds != ("truth", "truth"):
+        operator = str(token)
+        types = (left.value_type, right.value_type)
+        if operator in ("and", "or"):
+            if types != ("truth", "truth"):
                 raise _error_at(
-                    token, f"'{op}' between a {left.value_type} and a {right.value_type}"
+                    token, f"'{operator}' between a {left.value_type} and a {right.value_type}"
                 )
-            return Binary("truth", op, left, right)
-        if op in ("==", "!="):
+            return Binary("truth", operator, left, right)
+        if operator in ("==", "!="):
             if left.value_type != right.value_type:
                 raise _error_at(token, f"a {left.value_type} is never a {right.value_type}")
-            return Binary("truth", op, left, right)
-        if not set(kinds) <= {"number", "duration"}:
-            raise _error_at(token, f"'{op}' between a {left.value_type} and a {right.value_type}")
-        if op in ("<", "<=", ">", ">=", "+", "-"):
+            return Binary("truth", operator, left, right)
+        if not set(types) <= {"number", "duration"}:
+            raise _error_at(
+                token, f"'{operator}' between a {left.value_type} and a {right.value_type}"
+            )
+        if operator in ("<", "<=", ">", ">=", "+", "-"):
             if left.value_type != right.value_type:
                 raise _error_at(
-                    token, f"'{op}' between a {left.value_type} and a {right.value_type}"
+                    token, f"'{operator}' between a {left.value_type} and a {right.value_type}"
                 )
-            return Binary(left.value_type if op in "+-" else "truth", op, left, right)
-        if op == "*" and kinds == ("duration", "duration"):
-            raise _error_at(token, "a duration times a duration")
-        if op == "/" and right.value_type == "duration" and left.value_type == "number":
-            raise _error_at(token, "a number divided by a duration")
-        kind = "number" if kinds in (("number", "number"), ("duration", "duration")) else "duration"
-        return Binary(kind, op, left, right)
+            return Binary(left.value_type if operator in "+-" else "truth", operator, left, right)
+        if operator == "*" and types == ("duration", "duration"):
+            raise _error_at(token, "a duration cannot be multiplied by a duration")
+        if operator == "/" and right.value_type == "duration" and left.value_type == "number":
+            raise _error_at(token, "a number cannot be divided by a duration")
+        value_type = (
+            "number" if types in (("number", "number"), ("duration", "duration")) else "duration"
+        )
+        return Binary(value_type, operator, left, right)
 
 
 def _read_parameter(tree: Any, values: dict[str, float]) -> None:
@@ -191,10 +206,10 @@
         raise _error_at(token, f"unknown name {name!r}")
     if name in values:
         raise _error_at(token, f"{name} is set twice")
-    low, high, kind = PARAMETER_BOUNDS[name]
+    low, high, value_type = PARAMETER_BOUNDS[name]
     quantity = _Checker().build_quantity(signed.children[-1])
-    if quantity.value_type != kind:
-        raise _error_at(signed, f"{name} is a {kind}, not a {quantity.value_type}")
+    if quantity.value_type != value_type:
+        raise _error_at(signed, f"{name} is a {value_type}, not a {quantity.value_type}")
     number = float(quantity.constant)
     if len(signed.children) == 2 and str(signed.children[0]) == "-":
         number = -number
@@ -203,13 +218,13 @@
     values[name] = number
 
 
-def _read_rule(tree: Any, seen: set[str]) -> Rule:
+def _read_rule(tree: Any, names: set[str]) -> Rule:
     name, condition, action, count = tree.children
-    if str(name) in seen:
-        raise _error_at(name, f"a second rule {str(name)!r}")
-    seen.add(str(name))
-    if len(seen) > MAX_RULES:
-        raise _error_at(name, f"more than {MAX_RULES} rules")
+    if str(name) in names:
+        raise _error_at(name, f"rule {str(name)!r} is defined twice")
+    names.add(str(name))
+    if len(names) > MAX_RULES:
+        raise _error_at(name, f"the policy has more than {MAX_RULES} rules")
     checked = _Checker().build_expression(condition)
     if checked.value_type != "truth":
         raise _error_at(condition, f"the condition is a {checked.value_type}, not a truth")
@@ -220,43 +235,52 @@
 
 
 def parse_policy(text: str) -> Policy:
-    """A policy from its text; every fault is a PolicyError with line and column."""
+    """Parse and check the text of a policy.
+
+    Raises:
+        PolicyError: The policy is invalid; the message names line and column, except for a
+            policy that is too long or too deeply nested.
+    """
     if len(text) > MAX_POLICY_CHARS:
-        raise PolicyError(f"longer than {MAX_POLICY_CHARS} characters")
+        raise PolicyError(f"the policy is longer than {MAX_POLICY_CHARS} characters")
     parser = Lark(GRAMMAR, parser="lalr", propagate_positions=True, maybe_placeholders=False)
     try:
         tree = parser.parse(text)
-    except UnexpectedInput as wrong:
-        near = (
-            text.splitlines()[wrong.line - 1].strip()
-            if 0 < wrong.line <= text.count("\n") + 1
+    except UnexpectedInput as error:
+        line = (
+            text.splitlines()[error.line - 1].strip()
+            if 0 < error.line <= text.count("\n") + 1
             else ""
         )
         raise PolicyError(
-            f"line {wrong.line}, column {wrong.column}: not understood: {near}"
+            f"line {error.line}, column {error.column}: not understood: {line}"
         ) from None
     except RecursionError:
-        raise PolicyError("nested too deeply") from None
+        raise PolicyError("the policy is nested too deeply") from None
     values: dict[str, float] = {}
     rules: list[Rule] = []
-    seen: set[str] = set()
+    names: set[str] = set()
     for statement in tree.children:
         if not isinstance(statement, Tree):
             continue
         if statement.data == "set":
             _read_parameter(statement, values)
         else:
-            rules.append(_read_rule(statement, seen))
+            rules.append(_read_rule(statement, names))
     return Policy(Parameters(**(DEFAULT_PARAMETERS._asdict() | values)), tuple(rules))
 
 
 def load(path: Path) -> Policy:
-    """Read and check a policy file."""
+    """Load and check a policy file.
+
+    Raises:
+        PolicyError: The file cannot be read, or its policy is invalid.
+    """
     try:
         return parse_policy(path.read_text(encoding="utf-8"))
-    except OSError as wrong:
-        raise PolicyError(f"{path}: {wrong.strerror}") from None
+    except OSError as error:
+        raise PolicyError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
         raise PolicyError(f"{path}: not UTF-8") from None
-    except PolicyError as wrong:
-        raise PolicyError(f"{path}: {wrong}") from None
+    except PolicyError as error:
+        raise PolicyError(f"{path}: {error}") from None
